--- a/src/app/app.hpp
+++ b/src/app/app.hpp
@@ -12,7 +12,8 @@
 
 // An address of the settings; throws config::Error naming the field.
 template <typename Endpoint> Endpoint address(const std::string &text, const char *field) {
-    if (const auto found = net::endpoint<Endpoint>(text)) return *found;
+    if (const auto found = net::endpoint<Endpoint>(text))
+        return *found;
     throw config::Error(fmt::format("field '{}': '{}' is not an address and port", field, text));
 }
 
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -53,18 +53,27 @@
             fmt::print("marblewood {}\n", MARBLEWOOD_VERSION);
             return 0;
         }
-        if (*cells) return call_cells(control, call, words);
-        if (*keeper) return keep(operators, hangup);
-        if (*distributor) return distribute(distributor_file, hangup);
-        if (path.empty()) throw config::Error("no configuration: give --config or set BALANCER_CONFIG");
+        if (*cells)
+            return call_cells(control, call, words);
+        if (*keeper)
+            return keep(operators, hangup);
+        if (*distributor)
+            return distribute(distributor_file, hangup);
+        if (path.empty())
+            throw config::Error("no configuration: give --config or set BALANCER_CONFIG");
         config::Config config = config::load(path);
-        if (const char *const at = std::getenv("BALANCER_CONTROL"); at && *at) config.control = at;
-        if (!config.control.empty()) address<asio::ip::tcp::endpoint>(config.control, "control");
+        if (const char *const at = std::getenv("BALANCER_CONTROL"); at && *at)
+            config.control = at;
+        if (!config.control.empty())
+            address<asio::ip::tcp::endpoint>(config.control, "control");
         const config::Operator added = config::load_operator(operators);
         net::nvme::read_mapping(added.nvme, config.settings); // what is wrong there is said now
-        if (!added.otlp.isNull()) net::otlp::read_endpoint(added.otlp);
-        if (!added.cells.isNull()) net::cells::read_layout(added.cells);
-        if (!added.distribution.isNull()) read_distributors(added.distribution);
+        if (!added.otlp.isNull())
+            net::otlp::read_endpoint(added.otlp);
+        if (!added.cells.isNull())
+            net::cells::read_layout(added.cells);
+        if (!added.distribution.isNull())
+            read_distributors(added.distribution);
         if (*check) {
             fmt::print("{}: in order\n", path);
             return 0;
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -41,8 +41,10 @@
     std::size_t current = 0;
     std::optional<distribution::Revision> lowest;
     for (const auto &[revision, callers] : delivery.revisions_held()) {
-        if (!lowest) lowest = revision;
-        if (revision >= log.revision()) current += callers;
+        if (!lowest)
+            lowest = revision;
+        if (revision >= log.revision())
+            current += callers;
     }
     figures.gauge("callers", server.callers());
     figures.gauge("callers_with_revision", current);
@@ -102,9 +104,12 @@
         : config_(config), server_(io_, deadlines_, net::listen_at(io_, listen_address(config)),
                                    config.limits, config.most_removed, config.most_callers) {
         watch_nodes(seed);
-        if (!config.document_file.empty()) load_documents();
-        if (!config.document_parents.empty()) watch_documents(seed);
-        if (!config.control.empty()) serve_control();
+        if (!config.document_file.empty())
+            load_documents();
+        if (!config.document_parents.empty())
+            watch_documents(seed);
+        if (!config.control.empty())
+            serve_control();
     }
 
     void run(core::HeldSignal &hangup) {
@@ -113,7 +118,8 @@
         hangup.release();
         asio::signal_set signals(io_, SIGTERM, SIGINT);
         signals.async_wait([&](const boost::system::error_code &error, int) {
-            if (!error) io_.stop();
+            if (!error)
+                io_.stop();
         });
         io_.run();
         core::log("ended");
@@ -179,9 +185,11 @@
 
     void await_hangup() {
         hangups_.async_wait([this](const boost::system::error_code &error, int) {
-            if (error) return;
+            if (error)
+                return;
             try {
-                if (!config_.document_file.empty()) load_documents();
+                if (!config_.document_file.empty())
+                    load_documents();
             } catch (const std::exception &wrong) { // what is served stays
                 core::log("documents: not taken: {}", wrong.what());
             }
@@ -227,11 +235,13 @@
 void fit_to_descriptors(config::DistributorConfig &config) {
     constexpr std::size_t kSpare = 64; // listeners, parents, control's callers, the log
     rlimit files{};
-    if (::getrlimit(RLIMIT_NOFILE, &files) != 0) return;
+    if (::getrlimit(RLIMIT_NOFILE, &files) != 0)
+        return;
     files.rlim_cur = files.rlim_max;
     ::setrlimit(RLIMIT_NOFILE, &files);
     const std::size_t most = std::max<std::size_t>(files.rlim_cur, 2 * kSpare) - kSpare;
-    if (config.most_callers <= most) return;
+    if (config.most_callers <= most)
+        return;
     core::log("field 'most_callers': {}, where the system's limit of descriptors bears {}",
               config.most_callers, most);
     config.most_callers = most;
@@ -239,11 +249,13 @@
 
 // All addresses, before anything is opened.
 void check_addresses(const config::DistributorConfig &config) {
-    for (const auto &parent : config.parents) address<tcp::endpoint>(parent.address, "parents.address");
+    for (const auto &parent : config.parents)
+        address<tcp::endpoint>(parent.address, "parents.address");
     for (const auto &parent : config.document_parents)
         address<tcp::endpoint>(parent.address, "documents.parents.address");
     address<tcp::endpoint>(config.listen, "listen");
-    if (!config.control.empty()) address<tcp::endpoint>(config.control, "control");
+    if (!config.control.empty())
+        address<tcp::endpoint>(config.control, "control");
 }
 
 } // namespace
--- a/src/app/keep.cpp
+++ b/src/app/keep.cpp
@@ -20,7 +20,8 @@
 
 net::cells::Layout read(const std::string &operators) {
     const config::Operator added = config::load_operator(operators);
-    if (added.cells.isNull()) throw config::Error("missing field 'cells': give --operator a file with cells");
+    if (added.cells.isNull())
+        throw config::Error("missing field 'cells': give --operator a file with cells");
     return net::cells::read_layout(added.cells);
 }
 
@@ -52,7 +53,8 @@
     asio::signal_set hangups(io, SIGHUP); // the file is read again
     const std::function<void()> await_hangup = [&] {
         hangups.async_wait([&](const boost::system::error_code &error, int) {
-            if (error) return;
+            if (error)
+                return;
             try {
                 office.relayout(read(operators));
             } catch (const std::exception &wrong) {
@@ -65,7 +67,8 @@
     hangup.release();
     asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code &error, int) {
-        if (!error) io.stop();
+        if (!error)
+            io.stop();
     });
     io.run();
     core::log("ended");
@@ -76,9 +79,11 @@
 int call_cells(const std::string &control, const std::string &call, const std::vector<std::string> &words) {
     const auto at = address<tcp::endpoint>(control, "--control");
     std::string path = call, body;
-    for (const std::string &word : words) body += (body.empty() ? "" : " ") + word;
+    for (const std::string &word : words)
+        body += (body.empty() ? "" : " ") + word;
     const bool reads = call == "list" || call == "here" || call == "where";
-    if (call == "where") path += "/" + body, body.clear();
+    if (call == "where")
+        path += "/" + body, body.clear();
     const std::string text =
         fmt::format("{} /admin/cells/{} HTTP/1.1\r\nHost: {}\r\nContent-Length: {}\r\n\r\n{}",
                     reads ? "GET" : "POST", path, control, body.size(), body);
@@ -93,8 +98,10 @@
             const Micros until = clock.now() + 3'000'000;
             const auto error = co_await net::dial(socket, at, until, deadlines);
             std::optional<net::http::Response> response;
-            if (!error) response = co_await net::http::exchange(socket, text, until, deadlines);
-            if (response) fmt::print("{}", response->body);
+            if (!error)
+                response = co_await net::http::exchange(socket, text, until, deadlines);
+            if (response)
+                fmt::print("{}", response->body);
             if (response)
                 code = response->status == 200 ? 0 : 1;
             else
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,12 +1,12 @@
 #include "app/app.hpp"
 
-#include "core/planner.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/address.hpp"
 #include "net/cells/residence.hpp"
 #include "net/clients.hpp"
 #include "net/control/control.hpp"
 #include "net/costs.hpp"
-#include "net/fleet.hpp"
+#include "net/endpoint_registry.hpp"
 #include "net/handover/handover.hpp"
 #include "net/lists/document_watch.hpp"
 #include "net/nvme/front.hpp"
@@ -60,7 +60,8 @@
                 fresh.file[name] != config.file[name])
                 core::log("configuration: field '{}' has changed, which counts from the next start", name);
         core::log("configuration read again: discovery at {}", fresh.discovery);
-        if (fresh.discovery != config.discovery) move(discovery, fresh.discovery);
+        if (fresh.discovery != config.discovery)
+            move(discovery, fresh.discovery);
         config.discovery = fresh.discovery;
         ++figures.loaded;
     } catch (const std::exception &error) {
@@ -72,7 +73,8 @@
 // The clients' listening socket that the platform holds for every process of this broker.
 net::Descriptor passed_socket() {
     const char *const text = std::getenv("BALANCER_PASSED_SOCKET");
-    if (!text || !*text) return net::Descriptor();
+    if (!text || !*text)
+        return net::Descriptor();
     int fd = -1;
     const auto [end, error] = std::from_chars(text, text + std::strlen(text), fd);
     if (error != std::errc() || *end || fd < 3)
@@ -83,8 +85,10 @@
 // The platform's socket, or the predecessor's, or one of our own.
 tcp::acceptor listener(asio::io_context &io, net::Descriptor platform, net::Descriptor predecessor,
                        const tcp::endpoint &at) {
-    if (platform.get() >= 0) return net::listen_with(io, std::move(platform));
-    if (predecessor.get() >= 0) return net::listen_with(io, std::move(predecessor));
+    if (platform.get() >= 0)
+        return net::listen_with(io, std::move(platform));
+    if (predecessor.get() >= 0)
+        return net::listen_with(io, std::move(predecessor));
     return net::listen_at(io, at);
 }
 
@@ -100,7 +104,8 @@
     asio::io_context io(1);
     core::Clock clock;
     std::optional<net::cells::Layout> layout;
-    if (!added.cells.isNull()) layout = net::cells::read_layout(added.cells);
+    if (!added.cells.isNull())
+        layout = net::cells::read_layout(added.cells);
     core::Deadlines deadlines(io, clock);
     net::SocketBudget budget(layout ? std::max(64, sockets - kLinkSockets) : sockets);
     core::Memory memory((config.memory_mb << 20) / kHeldPart);
@@ -117,12 +122,14 @@
     const char *const folder = std::getenv("TMPDIR");
     const std::string meeting = folder && *folder ? std::string(folder) + "/marblewood.handover" : "";
     std::optional<net::handover::Inheritance> legacy;
-    if (!meeting.empty()) legacy = net::handover::inherit(meeting);
+    if (!meeting.empty())
+        legacy = net::handover::inherit(meeting);
     // The wall clock may have been set since the predecessor read it. Its times mean the same here and there.
     if (legacy && legacy->state["now_us"].isInt64() && legacy->state["now_us"].asInt64() > 0)
         clock.continue_from(legacy->state["now_us"].asInt64());
     const auto inherited = [&](const char *name) {
-        if (!legacy || legacy->channel.get() < 0) return net::Descriptor();
+        if (!legacy || legacy->channel.get() < 0)
+            return net::Descriptor();
         const auto found = legacy->sockets.find(name);
         return found == legacy->sockets.end() ? net::Descriptor() : std::move(found->second);
     };
@@ -130,59 +137,65 @@
     std::optional<net::discovery::Discovery> discovery;
     std::optional<net::lists::DocumentWatch> documents;
     std::optional<net::peers::Peers> peers;
-    core::Surroundings around;
-    around.tell_peers = [&](std::optional<int> peer, const std::string &data) {
-        if (peers) peers->tell(peer, data);
+    core::DispatcherCallbacks around;
+    around.send_peer_message = [&](std::optional<int> peer, const std::string &data) {
+        if (peers)
+            peers->tell(peer, data);
     };
-    // Each planner is a host of its own to the module, so that what hosts share out is shared out once more.
-    net::Fleet::Planners planners;
+    // Each dispatcher is a host of its own to the module, so that what hosts share out is shared out once
+    // more.
+    net::EndpointRegistry::Dispatchers dispatchers;
     core::Figures figures(config.settings.classes.size());
     std::optional<net::otlp::Exporter> exporter;
     if (!added.otlp.isNull())
         exporter.emplace(io, deadlines, net::otlp::read_endpoint(added.otlp), config.name, config.settings,
                          figures, random());
-    for (int n = 0; n < added.planners; ++n) {
+    for (int n = 0; n < added.dispatchers; ++n) {
         Settings own = config.settings;
-        own.hosts = config.settings.hosts * added.planners;
-        own.position = config.settings.position * added.planners + n;
+        own.hosts = config.settings.hosts * added.dispatchers;
+        own.position = config.settings.position * added.dispatchers + n;
         own.seed = config.settings.seed + static_cast<std::uint64_t>(n) * 0x9e3779b97f4a7c15;
         // Hosts that talk are numbered as the peers are: not where several decide in one process.
-        own.peers = config.settings.peers && added.planners == 1 && !config.peer_listen.empty() &&
+        own.peers = config.settings.peers && added.dispatchers == 1 && !config.peer_listen.empty() &&
                     config.peers.size() == static_cast<std::size_t>(config.settings.hosts);
         own.lends = added.lends;
-        own.most_held =
-            std::max<std::size_t>(4, static_cast<std::size_t>(sockets / added.planners) / kHeldSockets);
-        planners.push_back(std::make_unique<core::Planner>(io.get_executor(), deadlines, memory, figures, own,
-                                                           ports, around,
-                                                           exporter ? &exporter->observer() : nullptr));
+        own.max_queued_requests =
+            std::max<std::size_t>(4, static_cast<std::size_t>(sockets / added.dispatchers) / kHeldSockets);
+        dispatchers.push_back(std::make_unique<core::RequestDispatcher>(
+            io.get_executor(), deadlines, memory, figures, own, ports, around,
+            exporter ? &exporter->observer() : nullptr));
     }
     bool away = false;     // quiesced
     Micros away_since = 0; // when operators asked for it, by our clock
-    const auto usual =
-        [&](const core::Request &r) -> core::Planner & { // a volume always goes through the same one
-        return *planners[static_cast<std::uint64_t>(r.facts.volume) % planners.size()];
+    const auto usual = [&](const core::Request &r)
+        -> core::RequestDispatcher & { // a volume always goes through the same one
+        return *dispatchers[static_cast<std::uint64_t>(r.facts.volume) % dispatchers.size()];
     };
     std::optional<net::cells::Residence> residence;
     if (layout) {
         const marblewood::cells::Broker *const own = layout->map.broker(config.name);
-        if (!own) throw config::Error(fmt::format("field 'cells': no broker is called '{}'", config.name));
+        if (!own)
+            throw config::Error(fmt::format("field 'cells': no broker is called '{}'", config.name));
         residence.emplace(io, deadlines, memory, budget, config.settings, *layout, config.name,
                           net::listen_at(io, address<tcp::endpoint>(own->link, "cells")), random(), usual);
     }
-    const core::Desk desk{[&](const core::Request &r) -> core::Taker & {
-                              return residence ? static_cast<core::Taker &>(*residence) : usual(r);
-                          },
-                          [&] { return random(); },
-                          config.settings,
-                          deadlines,
-                          memory,
-                          away,
-                          figures};
+    const core::FrontEndServices services{[&](const core::Request &r) -> core::RequestHandler & {
+                                              return residence
+                                                         ? static_cast<core::RequestHandler &>(*residence)
+                                                         : usual(r);
+                                          },
+                                          [&] { return random(); },
+                                          config.settings,
+                                          deadlines,
+                                          memory,
+                                          away,
+                                          figures};
 
-    net::Fleet fleet(nodes, zones, mapping, resp_port, nvme_port, ports, planners);
+    net::EndpointRegistry fleet(nodes, zones, mapping, resp_port, nvme_port, ports, dispatchers);
     const auto told = [&](const net::discovery::Reading &reading) {
         fleet.told(reading);
-        if (residence) residence->ready_nodes(fleet.ready());
+        if (residence)
+            residence->ready_nodes(fleet.ready());
     };
     if (!config.discovery.empty())
         discovery.emplace(io, deadlines, config.settings,
@@ -199,7 +212,8 @@
             documents.emplace(io, deadlines, selector, config.name, config.settings.seed,
                               [&](const config::Operations &operations, distribution::Revision) {
                                   fleet.cordon_fleet(operations.cordons);
-                                  if (residence) residence->ready_nodes(fleet.ready());
+                                  if (residence)
+                                      residence->ready_nodes(fleet.ready());
                               });
         discovery->use(std::move(selector));
     }
@@ -217,7 +231,8 @@
         for (const std::string &peer : config.peers)
             others.push_back(address<asio::ip::udp::endpoint>(peer, "peers"));
         std::optional<asio::ip::udp::endpoint> all;
-        if (!config.peers_all.empty()) all = address<asio::ip::udp::endpoint>(config.peers_all, "peers_all");
+        if (!config.peers_all.empty())
+            all = address<asio::ip::udp::endpoint>(config.peers_all, "peers_all");
         const auto at = address<asio::ip::udp::endpoint>(config.peer_listen, "peer_listen");
         asio::ip::udp::socket socket(io);
         if (auto kept = inherited("peers"); kept.get() >= 0)
@@ -225,11 +240,13 @@
         else
             socket = asio::ip::udp::socket(io, at);
         peers.emplace(std::move(socket), others, all, [&](const PeerMessage &message) {
-            for (const auto &planner : planners) planner->peer_message(message);
+            for (const auto &dispatcher : dispatchers)
+                dispatcher->peer_message(message);
         });
     }
     net::discovery::Reading saved;
-    if (!config.known.isNull()) saved = net::discovery::read(config.known, nodes, zones);
+    if (!config.known.isNull())
+        saved = net::discovery::read(config.known, nodes, zones);
     saved.update.kind = ListUpdate::Kind::Saved;
     told(saved);
     if (legacy) {
@@ -254,16 +271,17 @@
     net::Clients clients(
         io, deadlines, budget, client_figures,
         listener(io, passed_socket(), inherited("clients"), address<tcp::endpoint>(config.listen, "listen")),
-        [&](net::Client &client) { return net::resp::serve(client, desk, open); });
+        [&](net::Client &client) { return net::resp::serve(client, services, open); });
     net::nvme::Controllers controllers;
     std::optional<net::Clients> nvme_clients;
     if (nvme_listener)
         nvme_clients.emplace(
             io, deadlines, budget, client_figures, std::move(*nvme_listener),
-            [&](net::Client &client) { return net::nvme::serve(client, desk, mapping, controllers); });
+            [&](net::Client &client) { return net::nvme::serve(client, services, mapping, controllers); });
     const auto costs = [&] {
         net::Costs c;
-        for (std::size_t kind = 0; kind < 3; ++kind) c.requests += figures.sum(kind);
+        for (std::size_t kind = 0; kind < 3; ++kind)
+            c.requests += figures.sum(kind);
         c.probes = figures.probes;
         c.connections = budget.opened();
         c.list_calls = discovery ? discovery->calls() : 0;
@@ -274,8 +292,8 @@
         c.unsent = figures.unsent;
         c.datagrams = peers ? peers->sent() : 0;
         c.datagram_bytes = peers ? peers->bytes() : 0;
-        for (const auto &planner : planners) {
-            const net::Counts more = net::counts(planner->overload());
+        for (const auto &dispatcher : dispatchers) {
+            const net::Counts more = net::counts(dispatcher->overload());
             for (std::size_t n = 0; n < more.size(); ++n)
                 c.overload[n] = {more[n].first, c.overload[n].second + more[n].second};
         }
@@ -295,14 +313,17 @@
         if (documents)
             text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
                                 documents->in_force(), documents->refused());
-        if (residence) text += residence->stats();
+        if (residence)
+            text += residence->stats();
         return text;
     };
     std::optional<net::handover::Handover> handover;
     const auto cordon = [&](const std::string &id, bool out) {
         const bool known = out ? fleet.cordon(id) : fleet.uncordon(id);
-        if (residence) residence->ready_nodes(fleet.ready());
-        if (known && handover) handover->tell_predecessor(id, out);
+        if (residence)
+            residence->ready_nodes(fleet.ready());
+        if (known && handover)
+            handover->tell_predecessor(id, out);
         return known;
     };
     operations.cordon = [&](const std::string &id) { return cordon(id, true); };
@@ -310,26 +331,32 @@
     if (residence)
         operations.cells = [&](std::string what, std::string body,
                                bool) -> asio::awaitable<std::pair<int, std::string>> {
-            if (what == "here") co_return std::pair(200, residence->spell());
+            if (what == "here")
+                co_return std::pair(200, residence->spell());
             const auto reply = co_await residence->ask_keeper(std::move(what), std::move(body));
-            if (!reply) co_return std::pair(503, std::string("the keeper does not answer\n"));
+            if (!reply)
+                co_return std::pair(503, std::string("the keeper does not answer\n"));
             co_return std::pair(reply->ok ? 200 : 409, reply->text);
         };
     const auto send_away = [&] {
         const auto since = away ? std::optional(away_since) : std::nullopt;
         clients.quiesce(since);
-        if (nvme_clients) nvme_clients->quiesce(since);
+        if (nvme_clients)
+            nvme_clients->quiesce(since);
     };
     const auto quiesce = [&](bool on) {
-        if (on && !away) away_since = clock.now();
+        if (on && !away)
+            away_since = clock.now();
         away = on;
         send_away();
-        if (handover) handover->tell_predecessor_quiesce(on);
+        if (handover)
+            handover->tell_predecessor_quiesce(on);
     };
     operations.quiesce = quiesce;
     operations.acts = [&] { return !handover || !handover->yielded(); };
     std::optional<net::control::Control> control;
-    if (control_listener) control.emplace(io, deadlines, std::move(*control_listener), std::move(operations));
+    if (control_listener)
+        control.emplace(io, deadlines, std::move(*control_listener), std::move(operations));
     send_away();
 
     // From one process to the next: see docs/design.md.
@@ -339,8 +366,10 @@
     };
     const auto accept = [&](bool on) {
         for (net::Clients *part : {&clients, nvme_clients ? &*nvme_clients : nullptr})
-            if (part) on ? part->resume() : part->pause();
-        if (peers) peers->listen(on);
+            if (part)
+                on ? part->resume() : part->pause();
+        if (peers)
+            peers->listen(on);
     };
     net::handover::Handover::Program program;
     program.yield = [&] {
@@ -355,8 +384,10 @@
             all.sockets[name] = net::Descriptor(::dup(socket));
         };
         give("clients", clients.listener());
-        if (nvme_clients) give("nvme", nvme_clients->listener());
-        if (peers) give("peers", peers->descriptor());
+        if (nvme_clients)
+            give("nvme", nvme_clients->listener());
+        if (peers)
+            give("peers", peers->descriptor());
         fleet.retire(true);
         share(true, 0);
         return all;
@@ -374,19 +405,22 @@
     program.alone = [&] { share(false, 0); };
     program.cordon = [&](const std::string &id, bool out) { cordon(id, out); };
     program.quiesce = quiesce;
-    if (!meeting.empty()) handover.emplace(io, deadlines, meeting, std::move(program));
+    if (!meeting.empty())
+        handover.emplace(io, deadlines, meeting, std::move(program));
     if (legacy && legacy->channel.get() >= 0) {
         share(true, static_cast<int>(config::integer_or(legacy->state, "clients", 0)));
         handover->follow(std::move(legacy->channel));
         core::log("took over from a predecessor");
     }
-    if (residence) residence->start();
+    if (residence)
+        residence->start();
     core::log("{} serves at {}", config.name, config.listen);
 
     asio::signal_set hangups(io, SIGHUP);
     const std::function<void()> await_hangup = [&] {
         hangups.async_wait([&](const boost::system::error_code &error, int) {
-            if (error) return;
+            if (error)
+                return;
             reload(path, config, figures, [&](const tcp::endpoint &at, const std::string &host) {
                 if (!added.distribution.isNull())
                     return core::log("distributors are asked in place of discovery, wherever it is");
@@ -402,32 +436,39 @@
     hangup.release();
     core::Deadlines::Entry last_look;
     const std::function<void()> stop = [&] { // once all that goes over has gone
-        if (!handover || handover->sent()) return io.stop();
+        if (!handover || handover->sent())
+            return io.stop();
         last_look = deadlines.in(kLook, stop);
     };
     const std::function<void()> await_further_signals = [&] { // they change nothing
         signals.async_wait([&](const boost::system::error_code &error, int number) {
-            if (error) return;
+            if (error)
+                return;
             core::log("signal {}: draining already", number);
             await_further_signals();
         });
     };
     signals.async_wait([&](const boost::system::error_code &error, int number) {
-        if (error) return;
+        if (error)
+            return;
         await_further_signals();
         const auto done = [&, left = std::make_shared<int>(nvme_clients ? 2 : 1)] {
-            if (--*left == 0) stop();
+            if (--*left == 0)
+                stop();
         };
         Micros longest = 0;
-        for (const ClassSettings &c : config.settings.classes) longest = std::max(longest, c.deadline);
+        for (const ClassSettings &c : config.settings.classes)
+            longest = std::max(longest, c.deadline);
         const Micros now = clock.now();
         const Micros end = now + std::min(longest, kLongest) + kGrace - kSpare;
         core::log("draining: signal {}; connections are let go in {} ms, requests withdrawn in {} ms, all is "
                   "over in {} ms",
                   number, (end - kLetGo - now) / 1000, (end - kWithdraw - now) / 1000, (end - now) / 1000);
-        for (const auto &planner : planners) planner->end_by(end);
+        for (const auto &dispatcher : dispatchers)
+            dispatcher->end_by(end);
         clients.drain(end - kLetGo, end - kWithdraw, done);
-        if (nvme_clients) nvme_clients->drain(end - kLetGo, end - kWithdraw, done);
+        if (nvme_clients)
+            nvme_clients->drain(end - kLetGo, end - kWithdraw, done);
     });
     io.run();
     core::log("ended: {} clients' connections left, {} shut down over bytes that were not taken",
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -45,17 +45,20 @@
     std::uint32_t bits = 0;
     int held = 0;
     for (const char c : text) {
-        if (c == '=') break;
+        if (c == '=')
+            break;
         const int digit = c >= 'A' && c <= 'Z'   ? c - 'A'
                           : c >= 'a' && c <= 'z' ? c - 'a' + 26
                           : c >= '0' && c <= '9' ? c - '0' + 52
                           : c == '+'             ? 62
                           : c == '/'             ? 63
                                                  : -1;
-        if (digit < 0) throw std::runtime_error("malformed base64");
+        if (digit < 0)
+            throw std::runtime_error("malformed base64");
         bits = bits << 6 | static_cast<std::uint32_t>(digit);
         held += 6;
-        if (held >= 8) bytes += static_cast<char>(bits >> (held -= 8) & 0xff);
+        if (held >= 8)
+            bytes += static_cast<char>(bits >> (held -= 8) & 0xff);
     }
     return bytes;
 }
@@ -92,11 +95,12 @@
                 fresh.settings = read_settings(
                     need(message, "params"), static_cast<std::uint64_t>(integer_or(message, "init_seed", 0)));
                 fresh.scheduler.emplace(fresh.settings);
-                const Micros most =
-                    fresh.settings.ask_within > 0 ? fresh.settings.ask_within : kLongestAskAgain;
+                const Micros most = fresh.settings.list_poll_interval > 0 ? fresh.settings.list_poll_interval
+                                                                          : kLongestAskAgain;
                 fresh.backoff = core::Backoff(std::min(kAskAgain, most), std::min(kLongestAskAgain, most),
                                               fresh.settings.seed);
-                if (fresh.settings.ask_for_list) watch(inst);
+                if (fresh.settings.poll_endpoint_list)
+                    watch(inst);
             } catch (const std::invalid_argument &error) {
                 give_in(inst, error.what());
                 fresh.broken = true;
@@ -113,7 +117,8 @@
         }
         Instance &to = found->second;
         const std::optional<Event> translated = translate(to, message, kind);
-        if (!translated || to.broken) return;
+        if (!translated || to.broken)
+            return;
         actions_.clear();
         try {
             to.scheduler->handle(now, *translated, actions_);
@@ -122,8 +127,10 @@
             to.broken = true;
             return;
         }
-        for (const Action &action : actions_) std::visit([&](const auto &a) { write(inst, to, a); }, action);
-        if (kind == wire::kOutcome || kind == wire::kLeft) forget(to, need_text(message, "handle"));
+        for (const Action &action : actions_)
+            std::visit([&](const auto &a) { write(inst, to, a); }, action);
+        if (kind == wire::kOutcome || kind == wire::kLeft)
+            forget(to, need_text(message, "handle"));
     }
 
     void reply() {
@@ -138,11 +145,14 @@
 
 private:
     std::optional<Event> translate(Instance &to, const Value &m, const std::string &kind) {
-        if (kind == wire::kUpdate) return update(to, m);
-        if (kind == wire::kRequest) return request(to, m);
+        if (kind == wire::kUpdate)
+            return update(to, m);
+        if (kind == wire::kRequest)
+            return request(to, m);
         if (kind == wire::kTimer) {
             const std::string name = need_text(m, "name");
-            if (name != kWatchTimer) return TimerDue{std::stoull(name)};
+            if (name != kWatchTimer)
+                return TimerDue{std::stoull(name)};
             watch(need_integer(m, wire::kInstance));
             return std::nullopt;
         }
@@ -151,19 +161,22 @@
                                unbase64(need_text(m, "body"))};
         if (kind == wire::kProbed) {
             const auto node = to.nodes.find(need_text(m, "server"));
-            if (!node) return std::nullopt;
+            if (!node)
+                return std::nullopt;
             return ProbeEnded{NodeId{*node}, status(m), time_or(m, "took", 0), report(m)};
         }
         if (kind != wire::kOutcome && kind != wire::kFirst && kind != wire::kLeft)
             throw std::runtime_error("unknown message '" + kind + "'");
         const auto known = to.requests.find(need_text(m, "handle"));
         if (kind == wire::kLeft) {
-            if (known == to.requests.end()) return std::nullopt;
-            return ClientLeft{known->second};
+            if (known == to.requests.end())
+                return std::nullopt;
+            return ClientDisconnected{known->second};
         }
         const int attempt = static_cast<int>(need_integer(m, "copy"));
         if (kind == wire::kFirst) {
-            if (known == to.requests.end()) return std::nullopt;
+            if (known == to.requests.end())
+                return std::nullopt;
             return StreamStarted{known->second, attempt};
         }
         AttemptEnded ended;
@@ -172,9 +185,10 @@
         ended.latency = time_or(m, "took", 0);
         ended.closed = flag_or(m, "complete", false);
         ended.used = static_cast<int>(integer_or(m, "metered", 0));
-        ended.elsewhere = number_or(m, "others_got", 0);
+        ended.remote_units = number_or(m, "others_got", 0);
         ended.report = report(m);
-        if (known == to.requests.end()) return std::nullopt;
+        if (known == to.requests.end())
+            return std::nullopt;
         ended.id = known->second;
         return ended;
     }
@@ -189,9 +203,11 @@
         }
         ListUpdate list;
         list.kind = word(wire::kForm, need_text(m, "form"), "form of list");
-        if (list.kind != ListUpdate::Kind::Saved) to.backoff.reset();
+        if (list.kind != ListUpdate::Kind::Saved)
+            to.backoff.reset();
         const auto rows = lists_.find(static_cast<int>(need_integer(m, "ref")));
-        if (rows == lists_.end()) throw std::runtime_error("list that was not given");
+        if (rows == lists_.end())
+            throw std::runtime_error("list that was not given");
         for (const Value &row : rows->second) {
             list.entries.push_back(read_entry(row, wire::kEntry, to.nodes, to.zones));
         }
@@ -203,9 +219,11 @@
         const auto handle = need_text(m, "handle");
         r.cls = numbered(to.settings.classes, need_text(m, "category"));
         r.plan = numbered(to.settings.plans, need_text(m, "contract"));
-        if (r.cls < 0 || r.plan < 0) throw std::runtime_error("request of an unknown class or plan");
+        if (r.cls < 0 || r.plan < 0)
+            throw std::runtime_error("request of an unknown class or plan");
         r.id = RequestId{to.next_request++};
-        if (!to.requests.try_emplace(handle, r.id).second) throw std::runtime_error("request id given twice");
+        if (!to.requests.try_emplace(handle, r.id).second)
+            throw std::runtime_error("request id given twice");
         to.handles.emplace(static_cast<std::uint64_t>(r.id), handle);
         r.time_left = need_time(m, "time_left");
         r.volume = VolumeId{static_cast<std::uint64_t>(integer_or(m, "owner", 0))};
@@ -221,9 +239,11 @@
     }
 
     static std::optional<LoadReport> report(const Value &m) {
-        if (!m.isMember("report") || m["report"].isNull()) return std::nullopt;
+        if (!m.isMember("report") || m["report"].isNull())
+            return std::nullopt;
         const Value &figures = m["report"];
-        if (!figures.isObject()) throw std::runtime_error("load report is not an object");
+        if (!figures.isObject())
+            throw std::runtime_error("load report is not an object");
         LoadReport load;
         for (const std::string &name : figures.getMemberNames())
             if (const Value &v = figures[name];
@@ -239,7 +259,8 @@
     // A handle is kept for as long as its scheduler can make something of it.
     static void forget(Instance &at, const std::string &handle) {
         const auto known = at.requests.find(handle);
-        if (known == at.requests.end() || at.scheduler->knows(known->second)) return;
+        if (known == at.requests.end() || at.scheduler->tracks(known->second))
+            return;
         at.handles.erase(static_cast<std::uint64_t>(known->second));
         at.requests.erase(known);
     }
@@ -277,14 +298,16 @@
         Value out = action(inst, wire::kSend);
         out["handle"] = handle(from, a.id);
         out["server"] = server(from, a.node);
-        if (a.expires > 0) out["expire_at"] = ms(a.expires);
+        if (a.expires > 0)
+            out["expire_at"] = ms(a.expires);
         line(out);
     }
     void write(std::int64_t inst, Instance &from, const Refuse &a) {
         Value out = action(inst, wire::kRefuse);
         const std::string name = handle(from, a.id);
         out["handle"] = name;
-        if (a.retry_after > 0) out["come_back"] = ms(a.retry_after);
+        if (a.retry_after > 0)
+            out["come_back"] = ms(a.retry_after);
         line(out);
         forget(from, name);
     }
@@ -322,9 +345,10 @@
         out["enable"] = true;
         line(out);
     }
-    void write(std::int64_t inst, Instance &, const TellPeers &a) {
+    void write(std::int64_t inst, Instance &, const SendPeerMessage &a) {
         Value out = action(inst, wire::kTell);
-        if (a.peer) out["neighbour_id"] = *a.peer;
+        if (a.peer)
+            out["neighbour_id"] = *a.peer;
         out["body"] = base64(a.data);
         line(out);
     }
@@ -351,12 +375,15 @@
     while (std::getline(in, text)) {
         ++number;
         try {
-            if (text.empty()) continue;
+            if (text.empty())
+                continue;
             const Value message = parse(text);
-            if (!message.isObject()) throw std::runtime_error("not an object");
+            if (!message.isObject())
+                throw std::runtime_error("not an object");
             const auto kind = need_text(message, wire::kTag);
             if (kind == wire::kBatch) {
-                if (in_batch) throw std::runtime_error("a batch begins inside another");
+                if (in_batch)
+                    throw std::runtime_error("a batch begins inside another");
                 link.now = need_time(message, wire::kClock);
                 in_batch = true;
             } else if (!in_batch) {
@@ -371,7 +398,8 @@
             throw std::runtime_error("line " + std::to_string(number) + ": " + error.what());
         }
     }
-    if (in_batch) throw std::runtime_error("the input ends inside a batch");
+    if (in_batch)
+        throw std::runtime_error("the input ends inside a batch");
 }
 
 } // namespace marblewood::benchlink
--- a/src/benchlink/wire.hpp
+++ b/src/benchlink/wire.hpp
@@ -22,12 +22,12 @@
 
 inline constexpr Words<Status, 8> kStatus{{{"GOOD", Status::Ok},
                                            {"BAD", Status::Error},
-                                           {"FULL", Status::Full},
+                                           {"FULL", Status::Rejected},
                                            {"LATE", Status::Timeout},
                                            {"NOCONN", Status::ConnectFailed},
                                            {"RST", Status::Reset},
                                            {"CXL", Status::Cancelled},
-                                           {"NOP", Status::Moot}}};
+                                           {"NOP", Status::Superseded}}};
 inline constexpr config::EntryWords kEntry{
     "server",
     "site",
--- a/src/cells/keeper.cpp
+++ b/src/cells/keeper.cpp
@@ -8,7 +8,9 @@
 
 constexpr Micros kRest = 2'000'000; // us after a move that went back, before a rule tries it again
 
-std::string spell(VolumeId v) { return fmt::format("{:016x}", static_cast<std::uint64_t>(v)); }
+std::string spell(VolumeId v) {
+    return fmt::format("{:016x}", static_cast<std::uint64_t>(v));
+}
 
 constexpr const char *kStages[] = {"preparing", "fencing", "draining",   "adopting",
                                    "deciding",  "opening", "forgetting", "going back"};
@@ -42,7 +44,8 @@
     map_.epoch = map.epoch;
     map_.pins.clear();
     for (const auto &[volume, cell] : map.pins)
-        if (map_.cell(cell)) map_.pins[volume] = cell;
+        if (map_.cell(cell))
+            map_.pins[volume] = cell;
     for (Cell &cell : map_.cells)
         if (const Cell *const before = map.cell(cell.name))
             cell.frozen = before->frozen, cell.evacuated = before->evacuated;
@@ -60,7 +63,8 @@
             was == published_.pins.end() || was->second != cell)
             change.pins.emplace_back(volume, cell);
     for (const auto &[volume, cell] : published_.pins)
-        if (!map_.pins.contains(volume)) change.pins.emplace_back(volume, "");
+        if (!map_.pins.contains(volume))
+            change.pins.emplace_back(volume, "");
     const bool small = published_.cells == map_.cells && published_.spare == map_.spare &&
                        published_.spread == map_.spread && change.pins.size() <= kMostChanged;
     for (const Cell &cell : map_.cells)
@@ -93,8 +97,10 @@
 void Keeper::settle(std::vector<KeeperAction> &actions) {
     std::size_t all = 0, heard = 0;
     for (const Cell &cell : map_.cells)
-        for (const Broker &broker : cell.brokers) ++all, heard += heard_.contains(broker.name);
-    if (settled_ || heard * 2 <= all || map_.epoch.number < newest_) return;
+        for (const Broker &broker : cell.brokers)
+            ++all, heard += heard_.contains(broker.name);
+    if (settled_ || heard * 2 <= all || map_.epoch.number < newest_)
+        return;
     settled_ = true;
     actions.emplace_back(
         Note{fmt::format("settled: {} of {} brokers heard, epochs go on above {}", heard, all, counter_)});
@@ -104,10 +110,14 @@
 void Keeper::handle(Micros now, const std::string &from, const Message &message,
                     std::vector<KeeperAction> &actions) {
     now_ = now;
-    if (!map_.broker(from)) return; // no broker of ours
-    if (const auto *answer = std::get_if<Answer>(&message)) on(now, from, *answer, actions);
-    if (const auto *hello = std::get_if<Hello>(&message)) on(now, from, *hello, actions);
-    if (const auto *behind = std::get_if<Behind>(&message)) on(from, *behind, actions);
+    if (!map_.broker(from))
+        return; // no broker of ours
+    if (const auto *answer = std::get_if<Answer>(&message))
+        on(now, from, *answer, actions);
+    if (const auto *hello = std::get_if<Hello>(&message))
+        on(now, from, *hello, actions);
+    if (const auto *behind = std::get_if<Behind>(&message))
+        on(from, *behind, actions);
 }
 
 void Keeper::on(Micros now, const std::string &from, const Hello &hello, std::vector<KeeperAction> &actions) {
@@ -131,7 +141,8 @@
     }
     settle(actions);
     // A newer map than ours comes with the answer to our news.
-    if (hello.map == map_.epoch) return;
+    if (hello.map == map_.epoch)
+        return;
     news_to(from, actions);
     heard.map = map_.epoch;
 }
@@ -186,7 +197,8 @@
         }
     }
     for (const std::string &broker : expected(m)) {
-        if (m.done.contains(broker)) continue;
+        if (m.done.contains(broker))
+            continue;
         // Until the teller has written down that this never opens, no source may take the volume back.
         if (m.stage == Stage::Aborting && m.open_sent && broker != m.teller && !m.done.contains(m.teller))
             continue;
@@ -205,17 +217,23 @@
                                          std::vector<KeeperAction> &actions) {
     const Cell *const target = map_.cell(to);
     const Cell *const source = map_.home(volume);
-    if (!settled_) return "not yet: a majority of the brokers has not been heard since the start";
-    if (!target) return fmt::format("there is no cell '{}'", to);
-    if (!source) return "the volume has no cell";
+    if (!settled_)
+        return "not yet: a majority of the brokers has not been heard since the start";
+    if (!target)
+        return fmt::format("there is no cell '{}'", to);
+    if (!source)
+        return "the volume has no cell";
     if (const auto at = moves_.find(volume); at != moves_.end())
         return at->second.to == to && at->second.stage != Stage::Aborting
                    ? fmt::format("it is on its way to '{}' already", to)
                    : fmt::format("a move to '{}' is {}", at->second.to,
                                  kStages[static_cast<int>(at->second.stage)]);
-    if (source == target) return fmt::format("it is in '{}' already", to);
-    if (target->frozen) return fmt::format("cell '{}' is frozen", to);
-    if (source->frozen) return fmt::format("cell '{}' is frozen", source->name);
+    if (source == target)
+        return fmt::format("it is in '{}' already", to);
+    if (target->frozen)
+        return fmt::format("cell '{}' is frozen", to);
+    if (source->frozen)
+        return fmt::format("cell '{}' is frozen", source->name);
     const auto known = known_.find(volume);
     const double reserve = known == known_.end() ? 0 : known->second.reserve;
     if (!fits(*target, reserve, promised()))
@@ -225,8 +243,10 @@
     m.from = source->name;
     m.to = to;
     m.by_operator = by_operator;
-    for (const Broker *b : map_.brokers_of(volume, *source)) m.sources.push_back(b->name);
-    for (const Broker *b : map_.brokers_of(volume, *target)) m.targets.push_back(b->name);
+    for (const Broker *b : map_.brokers_of(volume, *source))
+        m.sources.push_back(b->name);
+    for (const Broker *b : map_.brokers_of(volume, *target))
+        m.targets.push_back(b->name);
     m.teller = m.targets.front();
     ++figures_.begun;
     Move &kept = moves_[volume] = std::move(m);
@@ -270,7 +290,8 @@
     const auto at = moves_.find(volume);
     const bool back = at->second.stage == Stage::Aborting;
     ++(back ? figures_.aborted : figures_.completed);
-    if (back) rest_[volume] = now_ + kRest;
+    if (back)
+        rest_[volume] = now_ + kRest;
     actions.emplace_back(Note{fmt::format("volume {}: move {} {}", spell(volume), at->second.epoch.number,
                                           back ? "undone" : "complete")});
     moves_.erase(at);
@@ -280,12 +301,14 @@
 void Keeper::on(Micros now, const std::string &from, const Answer &a, std::vector<KeeperAction> &actions) {
     counter_ = std::max(counter_, a.move.number);
     const auto at = moves_.find(a.volume);
-    if (!settled_ || at == moves_.end() || !(at->second.epoch == a.move)) return;
+    if (!settled_ || at == moves_.end() || !(at->second.epoch == a.move))
+        return;
     Move &m = at->second;
     const bool source = std::count(m.sources.begin(), m.sources.end(), from) > 0;
     const bool target = std::count(m.targets.begin(), m.targets.end(), from) > 0;
     const bool decided = m.stage == Stage::Opening || m.stage == Stage::Forgetting;
-    if (a.word == Word::Opened && from == m.teller && !decided) return commit(now, a.volume, m, actions);
+    if (a.word == Word::Opened && from == m.teller && !decided)
+        return commit(now, a.volume, m, actions);
     bool counts = false;
     switch (m.stage) {
     case Stage::Preparing:
@@ -297,7 +320,8 @@
     case Stage::Draining:
         if (source && a.word == Word::Void)
             return go_back(now, a.volume, m, from + " knows of a later move", actions);
-        if (source && a.word == Word::Drained) m.left[from] = a.left;
+        if (source && a.word == Word::Drained)
+            m.left[from] = a.left;
         counts = source && (a.word == Word::Drained || (a.word == Word::Fenced && m.stage == Stage::Fencing));
         break;
     case Stage::Adopting:
@@ -316,15 +340,18 @@
         counts = a.word == Word::Aborted || a.word == Word::Void;
         break;
     }
-    if (!counts || !m.done.insert(from).second) return;
-    if (m.stage == Stage::Aborting && m.open_sent && from == m.teller) order(now, a.volume, m, actions);
+    if (!counts || !m.done.insert(from).second)
+        return;
+    if (m.stage == Stage::Aborting && m.open_sent && from == m.teller)
+        order(now, a.volume, m, actions);
     advance(now, a.volume, m, actions);
 }
 
 // Goes on as far as the answers that are there allow.
 void Keeper::advance(Micros now, VolumeId volume, Move &m, std::vector<KeeperAction> &actions) {
     auto all = expected(m);
-    if (m.stage == Stage::Aborting && !m.open_sent) all = m.sources; // the targets were never told to open
+    if (m.stage == Stage::Aborting && !m.open_sent)
+        all = m.sources; // the targets were never told to open
     if (!std::all_of(all.begin(), all.end(), [&](const std::string &b) { return m.done.contains(b); }))
         return;
     switch (m.stage) {
@@ -332,7 +359,8 @@
         return to_stage(now, volume, m, Stage::Fencing, actions);
     case Stage::Fencing:
         to_stage(now, volume, m, Stage::Draining, actions);
-        for (const auto &[broker, left] : m.left) m.done.insert(broker);
+        for (const auto &[broker, left] : m.left)
+            m.done.insert(broker);
         return advance(now, volume, m, actions);
     case Stage::Draining:
         return to_stage(now, volume, m, Stage::Adopting, actions);
@@ -353,9 +381,11 @@
 
 void Keeper::tick(Micros now, std::vector<KeeperAction> &actions) {
     now_ = now;
-    if (!settled_) return;
+    if (!settled_)
+        return;
     for (auto &[volume, m] : moves_) {
-        if (m.since == 0) m.since = now; // of an earlier run
+        if (m.since == 0)
+            m.since = now; // of an earlier run
         const Micros most = m.stage == Stage::Draining ? timing_.drain : timing_.step;
         const bool before = m.stage <= Stage::Deciding;
         if (before && now - m.since > most)
@@ -370,7 +400,8 @@
     // By rule: a cell that had nodes, and none of them takes requests, as all its brokers that were heard
     // lately say.
     for (const auto &[name, figures] : cells(now)) {
-        if (figures.ready > 0) been_ready_.insert(name);
+        if (figures.ready > 0)
+            been_ready_.insert(name);
         const bool drained = been_ready_.contains(name) && figures.brokers_heard > 0 && figures.ready == 0;
         if (!drained || !timing_.evacuate_drained || map_.cell(name)->evacuated || map_.cell(name)->frozen) {
             drained_since_.erase(name);
@@ -387,7 +418,8 @@
 // Volumes that are known stay where they are until they are moved, whatever the hash says from now on.
 void Keeper::pin_tenants(const std::string &cell) {
     for (const auto &[volume, known] : known_)
-        if (const Cell *const at = map_.home(volume); at && at->name == cell) map_.pins.emplace(volume, cell);
+        if (const Cell *const at = map_.home(volume); at && at->name == cell)
+            map_.pins.emplace(volume, cell);
 }
 
 std::vector<Tenant> Keeper::tenants(const std::string &cell) const {
@@ -419,12 +451,14 @@
         return !moves_.contains(v) && !rest_.contains(v) && known_.contains(v);
     };
     for (const Cell &cell : map_.cells) {
-        if (!cell.evacuated || !free()) continue;
+        if (!cell.evacuated || !free())
+            continue;
         std::vector<Tenant> all = tenants(cell.name);
         std::erase_if(all, [&](const Tenant &t) { return !movable(t.volume); });
         const Evacuation plan = cells::evacuate(map_, cell.name, std::move(all), promised());
         for (const auto &[volume, to] : plan.moves)
-            if (free()) start(now, volume, to, false, actions);
+            if (free())
+                start(now, volume, to, false, actions);
     }
     std::vector<std::pair<VolumeId, std::string>> home;
     for (const auto &[volume, cell] : map_.pins) {
@@ -433,7 +467,8 @@
             home.emplace_back(volume, hashed->name);
     }
     for (const auto &[volume, to] : home)
-        if (free()) start(now, volume, to, false, actions);
+        if (free())
+            start(now, volume, to, false, actions);
 }
 
 // A cell that has promised more than it may: those of its volumes that it took last in the order of their
@@ -442,7 +477,8 @@
     Promised given = promised();
     for (const Cell &cell : map_.cells) {
         double over = given[cell.name] - kReserved * cell.capacity;
-        if (over <= 0 || cell.frozen || cell.evacuated) continue;
+        if (over <= 0 || cell.frozen || cell.evacuated)
+            continue;
         std::vector<Tenant> all = tenants(cell.name);
         std::erase_if(all, [&](const Tenant &t) {
             return t.reserve <= 0 || moves_.contains(t.volume) || rest_.contains(t.volume) ||
@@ -455,11 +491,13 @@
         while (over > 0 && !all.empty() && moves_.size() < timing_.at_once) {
             auto pick =
                 std::find_if(all.begin(), all.end(), [&](const Tenant &t) { return t.reserve >= over; });
-            if (pick == all.end()) --pick;
+            if (pick == all.end())
+                --pick;
             const Tenant tenant = *pick;
             all.erase(pick);
             const auto to = place(map_, tenant.volume, tenant.reserve, given, {cell.name});
-            if (!to || start(now, tenant.volume, *to, false, actions)) continue;
+            if (!to || start(now, tenant.volume, *to, false, actions))
+                continue;
             over -= tenant.reserve;
             given[*to] += tenant.reserve;
         }
@@ -470,16 +508,21 @@
                            std::vector<KeeperAction> &actions) {
     now_ = now;
     const Cell *const at = map_.home(volume);
-    if (at && at->name == to && !moves_.contains(volume)) return pin(volume, actions); // it is there
-    if (const auto no = start(now, volume, to, true, actions)) return {false, *no};
+    if (at && at->name == to && !moves_.contains(volume))
+        return pin(volume, actions); // it is there
+    if (const auto no = start(now, volume, to, true, actions))
+        return {false, *no};
     return {true, fmt::format("move {} has begun", moves_.at(volume).epoch.number)};
 }
 
 Keeper::Reply Keeper::pin(VolumeId volume, std::vector<KeeperAction> &actions) {
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
     const Cell *const at = map_.home(volume);
-    if (!at) return {false, "the volume has no cell"};
-    if (moves_.contains(volume)) return {false, "it is being moved"};
+    if (!at)
+        return {false, "the volume has no cell"};
+    if (moves_.contains(volume))
+        return {false, "it is being moved"};
     if (map_.pins.contains(volume) && by_operator_.contains(volume))
         return {true, "it is pinned there already"};
     map_.pins[volume] = at->name;
@@ -490,9 +533,12 @@
 
 Keeper::Reply Keeper::unpin(Micros now, VolumeId volume, std::vector<KeeperAction> &actions) {
     now_ = now;
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
-    if (!map_.pins.contains(volume)) return {false, "it has no pin"};
-    if (moves_.contains(volume)) return {false, "it is being moved"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!map_.pins.contains(volume))
+        return {false, "it has no pin"};
+    if (moves_.contains(volume))
+        return {false, "it is being moved"};
     const Cell *const hashed = map_.hashed(volume);
     if (hashed && hashed->name == map_.pins.at(volume)) {
         map_.pins.erase(volume);
@@ -500,14 +546,17 @@
         publish(actions);
         return {true, "it lives there by the hash"};
     }
-    if (!hashed) return {false, "no cell takes volumes"};
-    if (const auto no = start(now, volume, hashed->name, false, actions)) return {false, *no};
+    if (!hashed)
+        return {false, "no cell takes volumes"};
+    if (const auto no = start(now, volume, hashed->name, false, actions))
+        return {false, *no};
     return {true,
             fmt::format("move {} home to '{}' has begun", moves_.at(volume).epoch.number, hashed->name)};
 }
 
 Keeper::Reply Keeper::freeze(const std::string &name, bool on, std::vector<KeeperAction> &actions) {
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
     for (Cell &cell : map_.cells)
         if (cell.name == name) {
             if (cell.frozen != on) {
@@ -520,13 +569,17 @@
 }
 
 Keeper::Reply Keeper::evacuate(const std::string &name, std::vector<KeeperAction> &actions) {
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
     std::size_t others = 0;
-    for (const Cell &cell : map_.cells) others += cell.name != name && !cell.evacuated;
+    for (const Cell &cell : map_.cells)
+        others += cell.name != name && !cell.evacuated;
     for (Cell &cell : map_.cells)
         if (cell.name == name) {
-            if (cell.frozen) return {false, fmt::format("cell '{}' is frozen", name)};
-            if (others == 0) return {false, "no other cell takes volumes"};
+            if (cell.frozen)
+                return {false, fmt::format("cell '{}' is frozen", name)};
+            if (others == 0)
+                return {false, "no other cell takes volumes"};
             if (!cell.evacuated) {
                 pin_tenants(name);
                 cell.evacuated = true;
@@ -538,12 +591,14 @@
 }
 
 Keeper::Reply Keeper::restore_cell(const std::string &name, std::vector<KeeperAction> &actions) {
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
     for (Cell &cell : map_.cells)
         if (cell.name == name) {
             if (cell.evacuated) {
                 for (const auto &[volume, known] : known_) // as in pin_tenants: each stays until it is moved
-                    if (const Cell *const at = map_.home(volume)) map_.pins.emplace(volume, at->name);
+                    if (const Cell *const at = map_.home(volume))
+                        map_.pins.emplace(volume, at->name);
                 cell.evacuated = false;
                 std::erase_if(map_.pins, [&](const auto &pin) { // needless ones
                     const Cell *const hashed = map_.hashed(pin.first);
@@ -557,8 +612,10 @@
 }
 
 Keeper::Reply Keeper::relayout(Map fresh, std::vector<KeeperAction> &actions) {
-    if (!settled_) return {false, "not yet: a majority of the brokers has not been heard since the start"};
-    if (!moves_.empty()) return {false, "not while volumes are being moved"};
+    if (!settled_)
+        return {false, "not yet: a majority of the brokers has not been heard since the start"};
+    if (!moves_.empty())
+        return {false, "not while volumes are being moved"};
     fresh.epoch = {};
     fresh.pins.clear();
     check(fresh);
@@ -579,7 +636,8 @@
                                        after ? "would change its brokers" : "would go")};
     }
     for (const auto &[volume, known] : known_)
-        if (const Cell *const at = map_.home(volume)) map_.pins.emplace(volume, at->name);
+        if (const Cell *const at = map_.home(volume))
+            map_.pins.emplace(volume, at->name);
     for (Cell &cell : fresh.cells)
         if (const Cell *const before = map_.cell(cell.name))
             cell.frozen = before->frozen, cell.evacuated = before->evacuated;
@@ -597,9 +655,11 @@
 
 std::string Keeper::where(VolumeId volume) const {
     const Cell *const at = map_.home(volume);
-    if (!at) return "nowhere\n";
+    if (!at)
+        return "nowhere\n";
     std::string brokers;
-    for (const Broker *b : map_.brokers_of(volume, *at)) brokers += (brokers.empty() ? "" : " ") + b->name;
+    for (const Broker *b : map_.brokers_of(volume, *at))
+        brokers += (brokers.empty() ? "" : " ") + b->name;
     std::string text =
         fmt::format("volume {}\ncell {}\nbrokers {}\nwhy {}\nepoch {}\n", spell(volume), at->name, brokers,
                     !map_.pins.contains(volume)     ? "by its hash"
--- a/src/cells/map.cpp
+++ b/src/cells/map.cpp
@@ -21,17 +21,20 @@
 
 const Broker *Cell::broker(std::string_view wanted) const {
     for (const Broker &b : brokers)
-        if (b.name == wanted) return &b;
+        if (b.name == wanted)
+            return &b;
     return nullptr;
 }
 const Cell *Map::cell(std::string_view name) const {
     for (const Cell &c : cells)
-        if (c.name == name) return &c;
+        if (c.name == name)
+            return &c;
     return nullptr;
 }
 const Cell *Map::cell_of_broker(std::string_view name) const {
     for (const Cell &c : cells)
-        if (c.broker(name)) return &c;
+        if (c.broker(name))
+            return &c;
     return nullptr;
 }
 const Broker *Map::broker(std::string_view name) const {
@@ -41,12 +44,14 @@
 
 std::vector<const Cell *> preference(const Map &map, VolumeId volume) {
     std::vector<std::pair<double, const Cell *>> scored;
-    for (const Cell &c : map.cells) scored.emplace_back(score(volume, c.name, c.capacity), &c);
+    for (const Cell &c : map.cells)
+        scored.emplace_back(score(volume, c.name, c.capacity), &c);
     std::sort(scored.begin(), scored.end(), [](const auto &a, const auto &b) {
         return a.first != b.first ? a.first < b.first : a.second->name < b.second->name;
     });
     std::vector<const Cell *> order;
-    for (const auto &[s, c] : scored) order.push_back(c);
+    for (const auto &[s, c] : scored)
+        order.push_back(c);
     return order;
 }
 
@@ -54,55 +59,66 @@
     const Cell *best = nullptr;
     double least = 0;
     for (const Cell &c : cells) {
-        if (c.evacuated) continue;
+        if (c.evacuated)
+            continue;
         const double s = score(volume, c.name, c.capacity);
-        if (!best || s < least || (s == least && c.name < best->name)) best = &c, least = s;
+        if (!best || s < least || (s == least && c.name < best->name))
+            best = &c, least = s;
     }
     return best;
 }
 
 const Cell *Map::home(VolumeId volume) const {
-    if (const auto pin = pins.find(volume); pin != pins.end()) return cell(pin->second);
+    if (const auto pin = pins.find(volume); pin != pins.end())
+        return cell(pin->second);
     return hashed(volume);
 }
 
 std::vector<const Broker *> Map::brokers_of(VolumeId volume, const Cell &in) const {
     std::vector<std::pair<double, const Broker *>> scored;
-    for (const Broker &b : in.brokers) scored.emplace_back(score(volume, b.name, 1), &b);
+    for (const Broker &b : in.brokers)
+        scored.emplace_back(score(volume, b.name, 1), &b);
     std::sort(scored.begin(), scored.end(), [](const auto &a, const auto &b) {
         return a.first != b.first ? a.first < b.first : a.second->name < b.second->name;
     });
     std::vector<const Broker *> chosen;
     for (const auto &[s, b] : scored)
-        if (static_cast<int>(chosen.size()) < spread) chosen.push_back(b);
+        if (static_cast<int>(chosen.size()) < spread)
+            chosen.push_back(b);
     return chosen;
 }
 
 bool Map::uses(VolumeId volume, const Cell &in, std::string_view name) const {
     for (const Broker *b : brokers_of(volume, in))
-        if (b->name == name) return true;
+        if (b->name == name)
+            return true;
     return false;
 }
 
 void check(const Map &map) {
     const auto wrong = [](const std::string &text) { throw std::invalid_argument(text); };
-    if (map.cells.empty()) wrong("there is no cell");
-    if (map.spread < 1) wrong("spread is under 1");
+    if (map.cells.empty())
+        wrong("there is no cell");
+    if (map.spread < 1)
+        wrong("spread is under 1");
     std::set<std::string> names, brokers, nodes = map.spare;
     for (const Cell &c : map.cells) {
         if (c.name.empty() || !names.insert(c.name).second)
             wrong("cell '" + c.name + "' has no name of its own");
         if (!(c.capacity > 0) || !std::isfinite(c.capacity))
             wrong("cell '" + c.name + "': capacity is not above 0");
-        if (c.brokers.empty()) wrong("cell '" + c.name + "' has no broker");
+        if (c.brokers.empty())
+            wrong("cell '" + c.name + "' has no broker");
         for (const Broker &b : c.brokers)
             if (b.name.empty() || !brokers.insert(b.name).second)
                 wrong("broker '" + b.name + "' stands in more than one place");
         for (const std::string &n : c.nodes)
-            if (n.empty() || !nodes.insert(n).second) wrong("node '" + n + "' stands in more than one place");
+            if (n.empty() || !nodes.insert(n).second)
+                wrong("node '" + n + "' stands in more than one place");
     }
     for (const auto &[volume, name] : map.pins)
-        if (!names.contains(name)) wrong("a pin names cell '" + name + "', which is none");
+        if (!names.contains(name))
+            wrong("a pin names cell '" + name + "', which is none");
 }
 
 } // namespace marblewood::cells
--- a/src/cells/placement.cpp
+++ b/src/cells/placement.cpp
@@ -26,7 +26,8 @@
     };
     std::sort(tenants.begin(), tenants.end(), [&](const Tenant &a, const Tenant &b) {
         const double x = density(a), y = density(b);
-        if (x != y) return x > y;
+        if (x != y)
+            return x > y;
         const double v = a.worth * a.rate, w = b.worth * b.rate;
         return v != w ? v > w : a.volume < b.volume;
     });
--- a/src/cells/resident.cpp
+++ b/src/cells/resident.cpp
@@ -7,7 +7,9 @@
 
 constexpr Micros kForgetVolume = 10'000'000; // us of disuse
 
-std::uint64_t number(VolumeId v) { return static_cast<std::uint64_t>(v); }
+std::uint64_t number(VolumeId v) {
+    return static_cast<std::uint64_t>(v);
+}
 
 } // namespace
 
@@ -35,8 +37,10 @@
 }
 // Where it lives as far as is known here: a move that ended here after the map was drawn is known better.
 const Cell *Resident::home(VolumeId volume) const {
-    if (!map_) return nullptr;
-    if (const Record *const r = record(volume); r && stands(*r)) return map_->cell(r->home);
+    if (!map_)
+        return nullptr;
+    if (const Record *const r = record(volume); r && stands(*r))
+        return map_->cell(r->home);
     return map_->home(volume);
 }
 
@@ -48,7 +52,8 @@
     const auto forward = [&](const std::string &to) {
         return asked.hops < kMostHops ? Route{Kind::Forward, to, 1} : Route{};
     };
-    if (!at || !mine) return {};
+    if (!at || !mine)
+        return {};
     const auto hosts = [&](const Cell &in) {
         return static_cast<int>(map_->brokers_of(asked.volume, in).size());
     };
@@ -64,13 +69,16 @@
                 return room ? Route{Kind::Serve, {}, hosts(*mine)} : Route{};
             }
     }
-    if (fenced(asked.volume)) return {Kind::Wait, {}, 1};
+    if (fenced(asked.volume))
+        return {Kind::Wait, {}, 1};
     if (at == mine && map_->uses(asked.volume, *at, name_)) {
-        if (ready_ == 0) return {}; // none of the cell's nodes takes anything: the client learns at once
+        if (ready_ == 0)
+            return {}; // none of the cell's nodes takes anything: the client learns at once
         return {Kind::Serve, {}, hosts(*at)};
     }
     const auto brokers = map_->brokers_of(asked.volume, *at);
-    if (brokers.empty()) return {};
+    if (brokers.empty())
+        return {};
     return forward(brokers[turn_++ % brokers.size()]->name);
 }
 
@@ -96,36 +104,45 @@
 
 void Resident::ended(Micros now, const Asked &asked, bool served, std::vector<Action> &actions) {
     const auto at = volumes_.find(number(asked.volume));
-    if (at == volumes_.end()) return;
+    if (at == volumes_.end())
+        return;
     Volume &v = at->second;
-    if (v.open > 0) --v.open;
+    if (v.open > 0)
+        --v.open;
     v.used = now;
-    if (served) v.units += asked.units;
+    if (served)
+        v.units += asked.units;
     if (asked.key)
         if (const auto key = v.keys.find(*asked.key); key != v.keys.end()) {
-            if (key->second.open > 0) --key->second.open;
+            if (key->second.open > 0)
+                --key->second.open;
             key->second.served |= served;
             key->second.until = std::max(key->second.until, now + timing_.keep_keys);
         }
-    if (v.open == 0 && fenced(asked.volume)) drain(now, asked.volume, actions);
+    if (v.open == 0 && fenced(asked.volume))
+        drain(now, asked.volume, actions);
 }
 
 // Gives up what is left, once nothing of the volume is open here.
 void Resident::drain(Micros now, VolumeId volume, std::vector<Action> &actions) {
     Record &r = records_.at(volume);
     Volume &v = volumes_[number(volume)];
-    if (r.stage != Stage::Fenced || v.open > 0 || now < born_ + timing_.vouch_after) return;
+    if (r.stage != Stage::Fenced || v.open > 0 || now < born_ + timing_.vouch_after)
+        return;
     r.left = stores_.take(volume);
     v.kept = 0;
     for (const auto &[hash, key] : v.keys) {
-        if (key.until <= now) continue;
+        if (key.until <= now)
+            continue;
         r.left.keys.push_back({hash, key.until, name_});
-        if (key.limited && !key.served) v.kept += key.units;
+        if (key.limited && !key.served)
+            v.kept += key.units;
     }
     // Keys that came here with an earlier move and still count go on with the volume.
     if (const auto to = afar_.find(volume); to != afar_.end())
         for (const auto &[hash, far] : to->second)
-            if (far.until > now) r.left.keys.push_back({hash, far.until, far.broker});
+            if (far.until > now)
+                r.left.keys.push_back({hash, far.until, far.broker});
     v.kept = std::min(v.kept, r.left.limit);
     r.left.limit -= v.kept;
     r.stage = Stage::Drained;
@@ -157,16 +174,22 @@
 
 void Resident::handle(Micros now, const std::string &from, const Message &message,
                       std::vector<Action> &actions) {
-    if (const auto *order = std::get_if<Order>(&message)) on(now, from, *order, actions);
+    if (const auto *order = std::get_if<Order>(&message))
+        on(now, from, *order, actions);
     if (const auto *news = std::get_if<News>(&message)) {
-        if (from.empty()) vouched_ = true;
+        if (from.empty())
+            vouched_ = true;
         on(now, *news, actions);
     }
-    if (const auto *change = std::get_if<Change>(&message)) on(now, *change, actions);
-    if (const auto *ask = std::get_if<Ask>(&message)) on(*ask, from, actions);
-    if (const auto *told = std::get_if<Told>(&message)) on(now, *told, actions);
+    if (const auto *change = std::get_if<Change>(&message))
+        on(now, *change, actions);
+    if (const auto *ask = std::get_if<Ask>(&message))
+        on(*ask, from, actions);
+    if (const auto *told = std::get_if<Told>(&message))
+        on(now, *told, actions);
     if (const auto *hello = std::get_if<Hello>(&message)) // another broker's map is older than ours
-        if (map_ && hello->map.number < map_->epoch.number) actions.emplace_back(Post{from, News{*map_, {}}});
+        if (map_ && hello->map.number < map_->epoch.number)
+            actions.emplace_back(Post{from, News{*map_, {}}});
 }
 
 void Resident::on(Micros now, const std::string &, const Order &o, std::vector<Action> &actions) {
@@ -175,7 +198,8 @@
     };
     const auto at = records_.find(o.volume);
     const bool same = at != records_.end() && at->second.move == o.move;
-    if (at != records_.end() && !same && at->second.move.number >= o.move.number) return answer(Word::Void);
+    if (at != records_.end() && !same && at->second.move.number >= o.move.number)
+        return answer(Word::Void);
     if (at == records_.end() && map_ && o.move.number < map_->epoch.number &&
         !moving_.contains(o.move.number))
         return answer(Word::Void); // of a move that was over when the map was drawn
@@ -183,7 +207,8 @@
     const Stage stage = same ? at->second.stage : Stage::Over;
     const auto begin = [&](Stage first) -> Record & {
         Record fresh{o.move, first, o.from, o.to, o.teller, {}, now};
-        if (at != records_.end()) fresh.home = at->second.home, fresh.home_number = at->second.home_number;
+        if (at != records_.end())
+            fresh.home = at->second.home, fresh.home_number = at->second.home_number;
         return records_[o.volume] = std::move(fresh);
     };
     switch (o.verb) {
@@ -193,8 +218,10 @@
                           : stage == Stage::Over ? Word::Void
                                                  : Word::Ready);
         const Cell *const mine = cell();
-        if (!mine || mine->name != o.to) return answer(Word::Declined, {}, "not a broker of the cell");
-        if (ready_ == 0) return answer(Word::Declined, {}, "no node of the cell takes requests");
+        if (!mine || mine->name != o.to)
+            return answer(Word::Declined, {}, "not a broker of the cell");
+        if (ready_ == 0)
+            return answer(Word::Declined, {}, "no node of the cell takes requests");
         begin(Stage::Ready);
         actions.emplace_back(Save{});
         return answer(Word::Ready);
@@ -204,19 +231,23 @@
             begin(Stage::Fenced);
             actions.emplace_back(Save{});
             drain(now, o.volume, actions);
-            if (records_[o.volume].stage == Stage::Fenced) answer(Word::Fenced);
+            if (records_[o.volume].stage == Stage::Fenced)
+                answer(Word::Fenced);
             return;
         }
         at->second.since = now;
         if (stage == Stage::Fenced) {
             drain(now, o.volume, actions);
-            if (at->second.stage == Stage::Fenced) answer(Word::Fenced);
+            if (at->second.stage == Stage::Fenced)
+                answer(Word::Fenced);
             return;
         }
-        if (stage == Stage::Drained) return answer(Word::Drained, at->second.left);
+        if (stage == Stage::Drained)
+            return answer(Word::Drained, at->second.left);
         return answer(Word::Void);
     case Verb::Adopt:
-        if (!same) return answer(Word::Void);
+        if (!same)
+            return answer(Word::Void);
         if (stage == Stage::Ready) {
             at->second.stage = Stage::Adopted;
             at->second.left = o.left;
@@ -226,7 +257,8 @@
         }
         return answer(stage == Stage::Opened ? Word::Opened : Word::Adopted);
     case Verb::Open:
-        if (!same) return answer(Word::Void);
+        if (!same)
+            return answer(Word::Void);
         if (stage == Stage::Adopted) {
             Record &r = at->second;
             r.stage = Stage::Opened;
@@ -234,7 +266,8 @@
             r.home_number = r.move.number;
             stores_.give(o.volume, r.left.limit, r.left.reserve);
             for (const Left::Key &key : r.left.keys)
-                if (key.source != name_) afar_[o.volume][key.hash] = {key.source, key.until};
+                if (key.source != name_)
+                    afar_[o.volume][key.hash] = {key.source, key.until};
             r.left = {};
             actions.emplace_back(Save{});
             actions.emplace_back(Resolve{o.volume});
@@ -252,7 +285,8 @@
             actions.emplace_back(Save{});
             return answer(Word::Aborted);
         }
-        if (stage == Stage::Opened) return answer(Word::Opened); // the teller's word stands
+        if (stage == Stage::Opened)
+            return answer(Word::Opened); // the teller's word stands
         if (stage == Stage::Fenced || stage == Stage::Drained) {
             give_back(o.volume, at->second, actions);
         } else if (stage != Stage::Over) {
@@ -266,8 +300,10 @@
 
 void Resident::on(Micros now, const Change &change, std::vector<Action> &actions) {
     meet(change.epoch);
-    if (map_ && change.epoch == map_->epoch) return;
-    if (!map_ || !(change.base == map_->epoch)) return hello(now, actions); // the whole is needed
+    if (map_ && change.epoch == map_->epoch)
+        return;
+    if (!map_ || !(change.base == map_->epoch))
+        return hello(now, actions); // the whole is needed
     News news{*map_, change.moving};
     news.map.epoch = change.epoch;
     for (const auto &[volume, cell] : change.pins) {
@@ -281,7 +317,8 @@
 
 void Resident::on(Micros now, const News &news, std::vector<Action> &actions) {
     meet(news.map.epoch);
-    if (map_ && news.map.epoch == map_->epoch) return;
+    if (map_ && news.map.epoch == map_->epoch)
+        return;
     if (map_ && news.map.epoch.number <= map_->epoch.number) {
         actions.emplace_back(Post{"", Behind{map_->epoch, greatest_, *map_}});
         return;
@@ -314,10 +351,12 @@
 // The teller's word decides, so it is written down before it is said. One that has forgotten what it said (it
 // started anew, without its file) is silent until the keeper has told it how things stand.
 void Resident::on(const Ask &ask, const std::string &from, std::vector<Action> &actions) {
-    if (!vouched_ || !map_) return;
+    if (!vouched_ || !map_)
+        return;
     meet(ask.move);
     const auto at = records_.find(ask.volume);
-    if (at != records_.end() && at->second.move.number > ask.move.number) return;
+    if (at != records_.end() && at->second.move.number > ask.move.number)
+        return;
     bool opened = false;
     if (at != records_.end() && at->second.move == ask.move) {
         opened = at->second.stage == Stage::Opened;
@@ -338,7 +377,8 @@
 
 void Resident::on(Micros now, const Told &told, std::vector<Action> &actions) {
     const auto at = records_.find(told.volume);
-    if (at == records_.end() || !(at->second.move == told.move) || !fenced(told.volume)) return;
+    if (at == records_.end() || !(at->second.move == told.move) || !fenced(told.volume))
+        return;
     at->second.since = now;
     if (told.opened)
         let_go(told.volume, at->second, actions);
@@ -355,7 +395,8 @@
             v.rate = greeted_ > 0 ? 0.5 * v.rate + 0.5 * v.units / seconds : 0;
             v.units = 0;
         }
-        if (home(VolumeId{id}) == cell()) h.volumes.push_back({VolumeId{id}, v.reserve, v.rate, v.worth});
+        if (home(VolumeId{id}) == cell())
+            h.volumes.push_back({VolumeId{id}, v.reserve, v.rate, v.worth});
     }
     std::sort(h.volumes.begin(), h.volumes.end(), [](const auto &a, const auto &b) {
         return a.rate != b.rate ? a.rate > b.rate : a.volume < b.volume;
@@ -364,18 +405,24 @@
         h.others = h.volumes.size() - kMostReported;
         h.volumes.resize(kMostReported);
     }
-    if (roll) greeted_ = now;
+    if (roll)
+        greeted_ = now;
     actions.emplace_back(Post{"", std::move(h)});
 }
 
 void Resident::tick(Micros now, std::vector<Action> &actions) {
-    if (now - greeted_ >= timing_.hello_every) hello(now, actions);
+    if (now - greeted_ >= timing_.hello_every)
+        hello(now, actions);
     for (auto &[volume, r] : records_) {
-        if (r.stage != Stage::Fenced && r.stage != Stage::Drained) continue;
-        if (r.stage == Stage::Fenced) drain(now, volume, actions);
-        if (now - r.since < timing_.ask_after) continue;
+        if (r.stage != Stage::Fenced && r.stage != Stage::Drained)
+            continue;
+        if (r.stage == Stage::Fenced)
+            drain(now, volume, actions);
+        if (now - r.since < timing_.ask_after)
+            continue;
         r.since = now;
-        if (!r.teller.empty()) actions.emplace_back(Post{r.teller, Ask{volume, r.move, r.from, r.to}});
+        if (!r.teller.empty())
+            actions.emplace_back(Post{r.teller, Ask{volume, r.move, r.from, r.to}});
     }
     for (auto &[id, v] : volumes_)
         std::erase_if(v.keys, [&](const auto &k) { return k.second.open == 0 && k.second.until <= now; });
@@ -391,9 +438,12 @@
 
 Resident::Held Resident::held() const {
     Held h{volumes_.size(), 0, 0, records_.size(), 0};
-    for (const auto &[id, v] : volumes_) h.keys += v.keys.size();
-    for (const auto &[volume, keys] : afar_) h.afar += keys.size();
-    for (const auto &[volume, r] : records_) h.fenced += fenced(volume);
+    for (const auto &[id, v] : volumes_)
+        h.keys += v.keys.size();
+    for (const auto &[volume, keys] : afar_)
+        h.afar += keys.size();
+    for (const auto &[volume, r] : records_)
+        h.fenced += fenced(volume);
     return h;
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -19,7 +19,8 @@
     c.control = text_or(root, "control", "");
     if (root.isMember("peers"))
         for (const Json::Value &peer : root["peers"]) {
-            if (!peer.isString()) throw Error("field 'peers' is not a list of addresses");
+            if (!peer.isString())
+                throw Error("field 'peers' is not a list of addresses");
             c.peers.push_back(peer.asString());
         }
     std::uint64_t seed = 0;
@@ -32,8 +33,10 @@
     }
     if (c.memory_mb < 16 || c.memory_mb > 1 << 20)
         throw Error("field 'limits.memory_mb' is not from 16 to 1048576");
-    if (c.sockets < 64) throw Error("field 'limits.sockets' is under 64, too few to serve");
-    if (root.isMember("known")) c.known = root["known"];
+    if (c.sockets < 64)
+        throw Error("field 'limits.sockets' is under 64, too few to serve");
+    if (root.isMember("known"))
+        c.known = root["known"];
     c.settings = read_settings(need(root, "settings"), seed);
     try {
         Scheduler probe(c.settings); // what contradicts itself is found now
@@ -50,21 +53,26 @@
 std::string read_text(const std::string &path) {
     std::ifstream file(path);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw Error("cannot read " + path);
+    if (!file || !(text << file.rdbuf()))
+        throw Error("cannot read " + path);
     return text.str();
 }
 
-Config load(const std::string &path) { return read_config(parse(read_text(path))); }
+Config load(const std::string &path) {
+    return read_config(parse(read_text(path)));
+}
 
 Operator load_operator(const std::string &path) {
     Operator op;
-    if (path.empty()) return op;
+    if (path.empty())
+        return op;
     const std::string text = read_text(path);
     const Json::Value root = parse(text);
     validate(root, text, kOperatorSchema);
-    const std::int64_t planners = integer_or(root, "planners", 1);
-    if (planners < 1 || planners > 64) throw Error("field 'planners' is not from 1 to 64");
-    op.planners = static_cast<int>(planners);
+    const std::int64_t dispatchers = integer_or(root, "planners", 1);
+    if (dispatchers < 1 || dispatchers > 64)
+        throw Error("field 'planners' is not from 1 to 64");
+    op.dispatchers = static_cast<int>(dispatchers);
     op.lends = flag_or(root, "lend_limits", false);
     op.nvme = root["nvme"];
     op.otlp = root["otlp"];
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -18,7 +18,7 @@
 // What an operator may add in a file of his own: more fronts, telemetry, more planners. Each part is decoded
 // by those who use it.
 struct Operator {
-    int planners = 1;
+    int dispatchers = 1;
     bool lends = false; // units of plans' limits to other brokers, and borrows
     Json::Value nvme, otlp, cells;
     Json::Value distribution; // see config/distribution.hpp
--- a/src/config/decode.hpp
+++ b/src/config/decode.hpp
@@ -24,12 +24,15 @@
 template <typename T, std::size_t N>
 T word(const Words<T, N> &words, const std::string &name, const char *field) {
     for (const auto &[text, value] : words)
-        if (text == name) return value;
+        if (text == name)
+            return value;
     throw Error(std::string("field '") + field + "': unknown word '" + name + "'");
 }
 
 Json::Value parse(const char *begin, const char *end); // throws Error
-inline Json::Value parse(const std::string &text) { return parse(text.data(), text.data() + text.size()); }
+inline Json::Value parse(const std::string &text) {
+    return parse(text.data(), text.data() + text.size());
+}
 
 // Typed access; all throw Error naming the field. The `_or` forms take a missing or null field.
 const Json::Value &need(const Json::Value &object, const char *field);
@@ -41,7 +44,9 @@
 std::int64_t integer_or(const Json::Value &object, const char *field, std::int64_t otherwise);
 bool flag_or(const Json::Value &object, const char *field, bool otherwise);
 Micros micros(double milliseconds);
-inline Micros need_time(const Json::Value &o, const char *field) { return micros(need_number(o, field)); }
+inline Micros need_time(const Json::Value &o, const char *field) {
+    return micros(need_number(o, field));
+}
 inline Micros time_or(const Json::Value &o, const char *f, Micros otherwise) {
     return o.isMember(f) && !o[f].isNull() ? micros(need_number(o, f)) : otherwise;
 }
@@ -51,7 +56,8 @@
 public:
     std::uint32_t number(const std::string &text) {
         const auto [it, fresh] = numbers_.try_emplace(text, next_);
-        if (fresh) texts_[next_++] = text;
+        if (fresh)
+            texts_[next_++] = text;
         return it->second;
     }
     std::optional<std::uint32_t> find(const std::string &text) const {
@@ -61,7 +67,8 @@
     const std::string &text(std::uint32_t number) const { return texts_.at(number); }
     template <typename F> void forget_if(F gone) { // names come without end where nodes are replaced
         std::erase_if(texts_, [&](const auto &entry) {
-            if (!gone(entry.first)) return false;
+            if (!gone(entry.first))
+                return false;
             numbers_.erase(entry.second);
             return true;
         });
--- a/src/config/operations.cpp
+++ b/src/config/operations.cpp
@@ -30,7 +30,8 @@
 Operations read_operations(const Json::Value &document) {
     validate(document, "", kOperationsSchema);
     Operations operations;
-    for (const Json::Value &id : document["cordons"]) operations.cordons.insert(id.asString());
+    for (const Json::Value &id : document["cordons"])
+        operations.cordons.insert(id.asString());
     return operations;
 }
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -149,7 +149,8 @@
 const Json::Value &at(const Json::Value &root, const std::vector<std::string> &context, std::string &name) {
     const Json::Value *here = &root;
     for (const std::string &step : context) {
-        if (step.size() < 2 || step.front() != '[') continue;
+        if (step.size() < 2 || step.front() != '[')
+            continue;
         const std::string key = step.substr(1, step.size() - 2);
         const bool digits =
             !key.empty() && std::all_of(key.begin(), key.end(), [](char c) { return c >= '0' && c <= '9'; });
@@ -174,10 +175,12 @@
     valijson::SchemaParser().populateSchema(valijson::adapters::JsonCppAdapter(rules), compiled);
     valijson::Validator validator;
     valijson::ValidationResults results;
-    if (validator.validate(compiled, valijson::adapters::JsonCppAdapter(root), &results)) return;
+    if (validator.validate(compiled, valijson::adapters::JsonCppAdapter(root), &results))
+        return;
     valijson::ValidationResults::Error error, deepest;
     while (results.popError(error)) // what is wrong deep inside makes all around it wrong
-        if (deepest.context.empty() || error.context.size() > deepest.context.size()) deepest = error;
+        if (deepest.context.empty() || error.context.size() > deepest.context.size())
+            deepest = error;
     std::string name;
     const Json::Value &value = at(root, deepest.context, name);
     const auto start =
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -27,7 +27,8 @@
         }
         ~Entry() { reset(); }
         void reset() {
-            if (owner_) owner_->entries_.erase(key_);
+            if (owner_)
+                owner_->entries_.erase(key_);
             owner_ = nullptr;
         }
 
@@ -50,11 +51,13 @@
 
 private:
     void arm() {
-        if (sweeping_ || entries_.empty() || entries_.begin()->first.first >= armed_) return;
+        if (sweeping_ || entries_.empty() || entries_.begin()->first.first >= armed_)
+            return;
         armed_ = entries_.begin()->first.first;
         timer_.expires_after(std::chrono::microseconds(std::max<Micros>(armed_ - clock.now(), 0)));
         timer_.async_wait([this](const boost::system::error_code &error) {
-            if (!error) sweep();
+            if (!error)
+                sweep();
         });
     }
     void sweep() {
--- a/src/core/roster.hpp
+++ b/src/core/endpoint_list.hpp
@@ -10,11 +10,12 @@
 
 namespace marblewood::core {
 
-class Roster {
+class EndpointList {
 public:
     ListUpdate lay(ListUpdate update) {
         using Kind = ListUpdate::Kind;
-        if (update.kind != Kind::Changes) listed_.clear();
+        if (update.kind != Kind::Changes)
+            listed_.clear();
         for (NodeEntry &entry : update.entries) {
             if (entry.state == NodeState::Gone)
                 listed_.erase(entry.node);
@@ -39,7 +40,8 @@
         touched.insert(fleet_out_.begin(), fleet_out_.end());
         const std::set<NodeId> before = std::exchange(fleet_out_, std::move(nodes));
         for (const NodeId node : touched) {
-            if (before.contains(node) == fleet_out_.contains(node)) continue;
+            if (before.contains(node) == fleet_out_.contains(node))
+                continue;
             const ListUpdate one = change(node, !cordoned(node));
             all.entries.insert(all.entries.end(), one.entries.begin(), one.entries.end());
         }
@@ -52,7 +54,8 @@
 
 private:
     NodeEntry seen(NodeEntry entry) const {
-        if (cordoned(entry.node) && entry.state == NodeState::Ready) entry.state = NodeState::Draining;
+        if (cordoned(entry.node) && entry.state == NodeState::Ready)
+            entry.state = NodeState::Draining;
         return entry;
     }
     // A node that comes back has been restarted meanwhile, for all that can be known: discovery is late.
@@ -60,7 +63,7 @@
         ListUpdate update{ListUpdate::Kind::Changes, {}};
         if (const auto at = listed_.find(node); at != listed_.end()) {
             update.entries.push_back(seen(at->second));
-            update.entries.back().returned = returned;
+            update.entries.back().restored = returned;
         }
         return update;
     }
--- a/src/core/figures.hpp
+++ b/src/core/figures.hpp
@@ -11,7 +11,9 @@
 /// How an attempt ended, as the figures and the log spell it, in the order of Status.
 inline constexpr std::array<std::string_view, 8> kStatusNames{
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"};
-constexpr std::string_view name(Status status) { return kStatusNames[static_cast<std::size_t>(status)]; }
+constexpr std::string_view name(Status status) {
+    return kStatusNames[static_cast<std::size_t>(status)];
+}
 
 struct Figures {
     explicit Figures(std::size_t classes) : ended(classes) {}
@@ -31,7 +33,8 @@
     std::uint64_t &of(int cls, Outcome::Kind kind) { return ended[cls][static_cast<std::size_t>(kind)]; }
     std::uint64_t sum(std::size_t kind) const {
         std::uint64_t all = 0;
-        for (const auto &cls : ended) all += cls[kind];
+        for (const auto &cls : ended)
+            all += cls[kind];
         return all;
     }
 };
--- a/src/core/mailbox.hpp
+++ b/src/core/mailbox.hpp
@@ -18,7 +18,8 @@
 
     void put(T value) {
         values_.push_back(std::move(value));
-        if (auto waiter = std::exchange(waiter_, nullptr)) waiter();
+        if (auto waiter = std::exchange(waiter_, nullptr))
+            waiter();
     }
     bool empty() const { return values_.empty(); }
     boost::asio::awaitable<T> take() {
--- a/src/core/planner.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -1,4 +1,4 @@
-// The planner: owns one Scheduler, its deadlines and its ledger. It tells the module what happens and does
+// The dispatcher: owns one Scheduler, its deadlines and its ledger. It tells the module what happens and does
 // what the module says; it decides nothing itself.
 #pragma once
 
@@ -17,8 +17,8 @@
 namespace marblewood::core {
 
 // What the module asks of the world beside requests; set by whoever wires the program.
-struct Surroundings {
-    std::function<void(std::optional<int>, const std::string &)> tell_peers;
+struct DispatcherCallbacks {
+    std::function<void(std::optional<int>, const std::string &)> send_peer_message;
 };
 
 // Follows requests and attempts from outside, for telemetry. Called on the loop; must not block.
@@ -31,42 +31,44 @@
 };
 
 // Takes requests from a front.
-class Taker {
+class RequestHandler {
 public:
     using Answer = std::function<void(Outcome)>;
-    virtual ~Taker() = default;
+    virtual ~RequestHandler() = default;
     // `answer` is called exactly once, unless the client leaves before; `over`, where given, once nothing of
     // the request is out any more, whoever has been answered.
     virtual RequestId submit(std::shared_ptr<const Request> request, Answer answer,
                              std::function<void()> over = nullptr) = 0;
-    virtual void client_left(RequestId id) = 0;
+    virtual void client_disconnected(RequestId id) = 0;
     // The request gets its final answer soon, whatever time its client has: refused where that is true, else
     // failed. One whose value is being passed on goes on.
     virtual void withdraw(RequestId id) = 0;
 };
 
-class Planner : public Taker {
+class RequestDispatcher : public RequestHandler {
 public:
-    Planner(boost::asio::any_io_executor executor, Deadlines &deadlines, Memory &memory, Figures &figures,
-            const Settings &settings, NodePort &port, Surroundings surroundings,
-            Observer *observer = nullptr);
+    RequestDispatcher(boost::asio::any_io_executor executor, Deadlines &deadlines, Memory &memory,
+                      Figures &figures, const Settings &settings, NodePort &port,
+                      DispatcherCallbacks surroundings, Observer *observer = nullptr);
 
     RequestId submit(std::shared_ptr<const Request> request, Answer answer,
                      std::function<void()> over = nullptr) override;
-    void client_left(RequestId id) override;
+    void client_disconnected(RequestId id) override;
     void withdraw(RequestId id) override;
     void list(const ListUpdate &update);
     void peer_message(PeerMessage message) { tell(std::move(message)); }
-    Legacy legacy(std::optional<VolumeId> only = {}) const { return scheduler_.legacy(only); }
-    void inherit(const Legacy &legacy) { tell(legacy); }
-    void retire(bool on) { tell(Retire{on}); }
+    HandoverState handover_state(std::optional<VolumeId> only = {}) const {
+        return scheduler_.handover_state(only);
+    }
+    void restore(const HandoverState &state) { tell(state); }
+    void retire(bool on) { tell(DrainForSuccessor{on}); }
     // The program ends then: a request that is taken from now on has its answer by that time, whatever its
     // client would wait.
     void end_by(Micros time) { end_by_ = time; }
     // Whether the node is on the list, or anything is out there.
-    bool knows(NodeId node) const { return scheduler_.bound(node).has_value(); }
-    bool avoids(NodeId node) const { return scheduler_.avoids(node); }
-    OverloadFigures overload() const { return scheduler_.overload(); }
+    bool knows(NodeId node) const { return scheduler_.concurrency_limit(node).has_value(); }
+    bool is_avoided(NodeId node) const { return scheduler_.is_avoided(node); }
+    OverloadMetrics overload() const { return scheduler_.overload(); }
     std::size_t open() const { return answers_; } // requests that still owe an answer
 
 private:
@@ -116,7 +118,7 @@
     Figures &figures_;
     Settings settings_;
     NodePort &port_;
-    Surroundings surroundings_;
+    DispatcherCallbacks callbacks_;
     Observer *observer_;
     RequestLog request_log_;
     Scheduler scheduler_;
@@ -131,8 +133,8 @@
 };
 
 // Where a front hands its requests: who takes one is the wiring's business.
-struct Desk {
-    std::function<Taker &(const Request &)> taker;
+struct FrontEndServices {
+    std::function<RequestHandler &(const Request &)> request_handler;
     std::function<std::uint64_t()> fresh; // a random number, for identifiers
     const Settings &settings;
     Deadlines &deadlines;
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -22,11 +22,13 @@
         kept_ += piece;
         share_.set(kept_.size());
         wake(came_);
-        while (!abandoned_ && kept_.size() >= kMostKept) co_await room_.take();
+        while (!abandoned_ && kept_.size() >= kMostKept)
+            co_await room_.take();
         co_return !abandoned_;
     }
     void end(bool whole) {
-        if (ended_) return;
+        if (ended_)
+            return;
         ended_ = true;
         whole_ = whole;
         wake(came_);
@@ -34,7 +36,8 @@
 
     // The front's side. Empty: that was all, or all that there will be.
     boost::asio::awaitable<std::string> take() {
-        while (kept_.empty() && !ended_) co_await came_.take();
+        while (kept_.empty() && !ended_)
+            co_await came_.take();
         std::string piece = std::exchange(kept_, {});
         share_.set(0);
         wake(room_);
@@ -48,7 +51,8 @@
 
 private:
     static void wake(Mailbox<bool> &box) {
-        if (box.empty()) box.put(true);
+        if (box.empty())
+            box.put(true);
     }
     Mailbox<bool> came_, room_;
     std::string kept_;
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -38,12 +38,12 @@
     Status status = Status::Error;
     std::string value;
     int used = 0;
-    double elsewhere = 0;
+    double remote_units = 0;
     std::optional<LoadReport> report;
     Micros retry_after = 0; // turned away: when to come back, where that was told
 };
 
-// One try at one node. The planner may stop it at any time; the node port then ends it soon.
+// One try at one node. The dispatcher may stop it at any time; the node port then ends it soon.
 struct Attempt {
     std::shared_ptr<const Request> request;
     NodeId node{};
@@ -57,13 +57,16 @@
     std::function<void()> on_stop; // set by the port while it runs: breaks off what it waits for
 
     void stop(Status why) {
-        if (stopped) return;
+        if (stopped)
+            return;
         stopped = why;
-        if (on_stop) on_stop();
+        if (on_stop)
+            on_stop();
     }
     // How a stopped or broken attempt ended. Whether it may have run hangs on its last byte alone.
     Status broken(bool whole_written) const {
-        if (!whole_written) return stopped ? Status::Moot : Status::ConnectFailed;
+        if (!whole_written)
+            return stopped ? Status::Superseded : Status::ConnectFailed;
         return stopped.value_or(Status::Reset);
     }
 };
--- a/src/distribution/change_log.cpp
+++ b/src/distribution/change_log.cpp
@@ -5,15 +5,20 @@
 namespace marblewood::distribution {
 
 Taken ChangeLog::take(const Update &update) {
-    if (update.revision < revision_) return Taken::Older;
+    if (update.revision < revision_)
+        return Taken::Older;
     if (update.revision == revision_)
         return update.members.empty() || update.complete ? Taken::Yes : Taken::Older;
     const bool first = empty();
-    if (first && !update.complete) return Taken::Older; // changes to a list that is not known
-    if (update.complete) remove_unnamed(update);
-    for (const Member &member : update.members) put(member, update.revision);
+    if (first && !update.complete)
+        return Taken::Older; // changes to a list that is not known
+    if (update.complete)
+        remove_unnamed(update);
+    for (const Member &member : update.members)
+        put(member, update.revision);
     revision_ = update.revision;
-    if (first) oldest_ = revision_;
+    if (first)
+        oldest_ = revision_;
     forget_removed();
     return Taken::Yes;
 }
@@ -27,7 +32,8 @@
             of.erase(key);
     };
     apply(by_revision_);
-    if (row.urgent) apply(urgent_);
+    if (row.urgent)
+        apply(urgent_);
     if (row.phase == Phase::Removed) {
         apply(removed_);
     } else if (present) {
@@ -42,7 +48,8 @@
     bool urgent = member.phase != Phase::Up;
     if (at != rows_.end()) {
         urgent |= at->second.phase != Phase::Removed && at->second.shard != member.shard;
-        if (at->second.text == member.text && at->second.phase == member.phase) return;
+        if (at->second.text == member.text && at->second.phase == member.phase)
+            return;
         index(member.id, at->second, false);
         rows_.erase(at);
     }
@@ -53,12 +60,14 @@
 // Whoever is not named by a whole list has been removed.
 void ChangeLog::remove_unnamed(const Update &update) {
     std::set<std::string_view> named;
-    for (const Member &member : update.members) named.insert(member.id);
+    for (const Member &member : update.members)
+        named.insert(member.id);
     std::vector<Member> gone;
     for (const auto &[id, row] : rows_)
         if (row.phase != Phase::Removed && !named.contains(id))
             gone.push_back({id, row.text, Phase::Removed, row.shard});
-    for (const Member &member : gone) put(member, update.revision);
+    for (const Member &member : gone)
+        put(member, update.revision);
 }
 
 void ChangeLog::forget_removed() {
@@ -78,7 +87,8 @@
 Delta ChangeLog::whole() const {
     Delta delta{revision_, true, {}, 0};
     for (const auto &[id, row] : rows_)
-        if (row.phase != Phase::Removed) add(delta, row);
+        if (row.phase != Phase::Removed)
+            add(delta, row);
     return delta;
 }
 
@@ -91,8 +101,10 @@
         auto last = at;
         for (; last != by_revision_.end() && last->first == revision; ++last)
             bytes += entry_bytes(rows_.at(last->second).text);
-        if (!delta.entries.empty() && delta.bytes + bytes > most_bytes) break;
-        for (; at != last; ++at) add(delta, rows_.at(at->second));
+        if (!delta.entries.empty() && delta.bytes + bytes > most_bytes)
+            break;
+        for (; at != last; ++at)
+            add(delta, rows_.at(at->second));
         delta.revision = revision;
     }
     if (at == by_revision_.end()) {
--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -54,7 +54,9 @@
 
 /// What an entry takes up in an answer: its text, and its phase as it is spelt around that.
 constexpr std::size_t kPhaseBytes = 22;
-inline std::size_t entry_bytes(std::string_view text) { return text.size() + kPhaseBytes; }
+inline std::size_t entry_bytes(std::string_view text) {
+    return text.size() + kPhaseBytes;
+}
 
 class ChangeLog {
 public:
--- a/src/distribution/delivery.cpp
+++ b/src/distribution/delivery.cpp
@@ -16,38 +16,49 @@
 
 void Delivery::disconnect(CallerId id) {
     const auto at = callers_.find(id);
-    if (at == callers_.end()) return;
-    if (at->second.waiting) end_call(id, at->second);
+    if (at == callers_.end())
+        return;
+    if (at->second.waiting)
+        end_call(id, at->second);
     whole_written(id);
     callers_.erase(at);
 }
 
 void Delivery::ask(CallerId id, std::optional<Revision> since, Micros until) {
     Caller &caller = callers_.at(id);
-    if (caller.waiting) end_call(id, caller);
+    if (caller.waiting)
+        end_call(id, caller);
     ++figures_.calls;
     caller.waiting = true;
     caller.until = until;
     caller.since = since;
-    if (since) caller.held = since;
+    if (since)
+        caller.held = since;
     expiries_.emplace(until, id);
-    if (need(caller) != Need::None) pending_.insert(id);
+    if (need(caller) != Need::None)
+        pending_.insert(id);
 }
 
 void Delivery::published() {
     for (const auto &[id, caller] : callers_)
-        if (caller.waiting && need(caller) != Need::None) pending_.insert(id);
+        if (caller.waiting && need(caller) != Need::None)
+            pending_.insert(id);
 }
 
 void Delivery::whole_written(CallerId id) {
-    if (whole_to_ == id) whole_to_.reset();
+    if (whole_to_ == id)
+        whole_to_.reset();
 }
 
 Delivery::Need Delivery::need(const Caller &caller) const {
-    if (log_.empty()) return Need::Behind;
-    if (!caller.since) return Need::Whole;
-    if (*caller.since > log_.revision()) return Need::Behind;
-    if (*caller.since == log_.revision()) return Need::None;
+    if (log_.empty())
+        return Need::Behind;
+    if (!caller.since)
+        return Need::Whole;
+    if (*caller.since > log_.revision())
+        return Need::Behind;
+    if (*caller.since == log_.revision())
+        return Need::None;
     return log_.reaches(*caller.since) ? Need::Changes : Need::Whole;
 }
 
@@ -58,7 +69,8 @@
     for (const CallerId id : pending_) {
         const Caller &caller = callers_.at(id);
         const Need lacks = need(caller);
-        if (lacks != Need::Changes && lacks != Need::Whole) continue;
+        if (lacks != Need::Changes && lacks != Need::Whole)
+            continue;
         const Revision since = caller.since.value_or(-1);
         const bool urgent = lacks == Need::Changes && log_.urgent_after(std::max(since, caller.urgent_told));
         order.emplace_back(lacks == Need::Whole ? 2 : urgent ? 0 : 1, since, caller.until, id);
@@ -66,7 +78,8 @@
     std::sort(order.begin(), order.end());
     std::vector<CallerId> ids;
     ids.reserve(order.size());
-    for (const Order &one : order) ids.push_back(std::get<CallerId>(one));
+    for (const Order &one : order)
+        ids.push_back(std::get<CallerId>(one));
     return ids;
 }
 
@@ -93,7 +106,8 @@
 bool Delivery::answer_changes(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out) {
     const Revision since = *caller.since;
     const bool affordable = caller.budget.ready(now) && machine_.ready(now);
-    if (!affordable && !log_.urgent_after(std::max(since, caller.urgent_told))) return false;
+    if (!affordable && !log_.urgent_after(std::max(since, caller.urgent_told)))
+        return false;
     Delta delta =
         affordable ? log_.changes(since, static_cast<std::size_t>(limits_.caller.burst), caller.urgent_told)
                    : log_.urgent_changes(since, caller.urgent_told);
@@ -107,7 +121,8 @@
 }
 
 bool Delivery::answer_whole(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out) {
-    if (whole_to_ || !machine_.ready(now)) return false;
+    if (whole_to_ || !machine_.ready(now))
+        return false;
     whole_to_ = id;
     Delta delta = log_.whole();
     caller.urgent_told = delta.revision;
@@ -135,18 +150,22 @@
 }
 
 void Delivery::put_off(Caller &caller) {
-    if (!std::exchange(caller.put_off, true)) ++figures_.put_off;
+    if (!std::exchange(caller.put_off, true))
+        ++figures_.put_off;
 }
 
 std::optional<Micros> Delivery::next(Micros now) const {
-    if (expiries_.empty()) return std::nullopt;
+    if (expiries_.empty())
+        return std::nullopt;
     Micros first = expiries_.begin()->first;
     const Micros machine = machine_.ready_at(now);
     for (const CallerId id : pending_) {
         const Caller &caller = callers_.at(id);
         const Need lacks = need(caller);
-        if (lacks == Need::Changes) first = std::min(first, std::max(machine, caller.budget.ready_at(now)));
-        if (lacks == Need::Whole && !whole_to_) first = std::min(first, machine);
+        if (lacks == Need::Changes)
+            first = std::min(first, std::max(machine, caller.budget.ready_at(now)));
+        if (lacks == Need::Whole && !whole_to_)
+            first = std::min(first, machine);
     }
     return std::max(first, now);
 }
@@ -154,7 +173,8 @@
 std::map<Revision, std::size_t> Delivery::revisions_held() const {
     std::map<Revision, std::size_t> held;
     for (const auto &[id, caller] : callers_)
-        if (caller.held) ++held[*caller.held];
+        if (caller.held)
+            ++held[*caller.held];
     return held;
 }
 
--- a/src/distribution/distributor_selector.cpp
+++ b/src/distribution/distributor_selector.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 int distance(const Locality &from, const Locality &to) {
-    if (from.region != to.region) return 2;
+    if (from.region != to.region)
+        return 2;
     return from.zone == to.zone ? 0 : 1;
 }
 
@@ -22,7 +23,8 @@
 DistributorSelector::DistributorSelector(std::vector<Distributor> distributors, const std::string &broker,
                                          const Locality &locality, std::uint64_t seed)
     : random_(seed) {
-    for (Distributor &distributor : distributors) candidates_.push_back({std::move(distributor)});
+    for (Distributor &distributor : distributors)
+        candidates_.push_back({std::move(distributor)});
     const auto rank = [&](const Candidate &candidate) {
         const Distributor &distributor = candidate.distributor;
         return std::tuple(distance(locality, distributor.locality), ~rendezvous(broker, distributor.name),
@@ -42,7 +44,8 @@
 
 bool DistributorSelector::reconsider(Micros now) {
     const std::size_t best = choose(now);
-    if (best >= current_) return false;
+    if (best >= current_)
+        return false;
     current_ = best;
     return true;
 }
@@ -50,7 +53,8 @@
 std::size_t DistributorSelector::choose(Micros now) const {
     const auto usable = [now](const Candidate &candidate) { return candidate.avoid_until <= now; };
     const auto found = std::find_if(candidates_.begin(), candidates_.end(), usable);
-    if (found != candidates_.end()) return static_cast<std::size_t>(found - candidates_.begin());
+    if (found != candidates_.end())
+        return static_cast<std::size_t>(found - candidates_.begin());
     const auto soonest =
         std::min_element(candidates_.begin(), candidates_.end(), [](const Candidate &a, const Candidate &b) {
             return a.avoid_until < b.avoid_until;
--- a/src/distribution/report_book.cpp
+++ b/src/distribution/report_book.cpp
@@ -13,12 +13,15 @@
 }
 
 void ReportBook::put(const std::string &name, Entry entry) {
-    if (entries_.size() >= kMostReporters) forget(entry.at);
-    if (entries_.size() < kMostReporters || entries_.contains(name)) entries_[name] = std::move(entry);
+    if (entries_.size() >= kMostReporters)
+        forget(entry.at);
+    if (entries_.size() < kMostReporters || entries_.contains(name))
+        entries_[name] = std::move(entry);
 }
 
 void ReportBook::published(Revision version, Micros now) {
-    if (version <= newest_) return;
+    if (version <= newest_)
+        return;
     newest_ = version;
     newest_at_ = now;
 }
@@ -30,22 +33,29 @@
 std::vector<Lacking> ReportBook::lacking(Micros now) const {
     std::vector<Lacking> all;
     for (const auto &[name, entry] : entries_) {
-        if (now - entry.at > kKept) continue;
-        if (entry.version && *entry.version < newest_) all.push_back({name, now - newest_at_});
-        if (!entry.version) all.insert(all.end(), entry.subtree.lacking.begin(), entry.subtree.lacking.end());
+        if (now - entry.at > kKept)
+            continue;
+        if (entry.version && *entry.version < newest_)
+            all.push_back({name, now - newest_at_});
+        if (!entry.version)
+            all.insert(all.end(), entry.subtree.lacking.begin(), entry.subtree.lacking.end());
     }
     std::stable_sort(all.begin(), all.end(),
                      [](const Lacking &a, const Lacking &b) { return a.for_us > b.for_us; });
-    if (all.size() > kMostNamed) all.resize(kMostNamed);
+    if (all.size() > kMostNamed)
+        all.resize(kMostNamed);
     return all;
 }
 
 SubtreeReport ReportBook::subtree(Micros now) const {
     SubtreeReport report;
     for (const auto &[name, entry] : entries_) {
-        if (now - entry.at > kKept) continue;
-        if (entry.version) ++report.brokers[*entry.version];
-        for (const auto &[version, brokers] : entry.subtree.brokers) report.brokers[version] += brokers;
+        if (now - entry.at > kKept)
+            continue;
+        if (entry.version)
+            ++report.brokers[*entry.version];
+        for (const auto &[version, brokers] : entry.subtree.brokers)
+            report.brokers[version] += brokers;
     }
     report.lacking = lacking(now);
     return report;
@@ -55,7 +65,8 @@
     ReportSummary summary;
     for (const auto &[version, brokers] : subtree(now).brokers) {
         summary.brokers += brokers;
-        if (version >= newest_) summary.current += brokers;
+        if (version >= newest_)
+            summary.current += brokers;
     }
     summary.lacking = lacking(now);
     return summary;
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -144,8 +144,10 @@
     std::vector<Check> checks;
     for (const Json::Value &row : rows) {
         Check check{config::need_text(row, "name"), config::need_text(row, "metric"), {}, {}};
-        if (row.isMember("least")) check.least = config::need_number(row, "least");
-        if (row.isMember("most")) check.most = config::need_number(row, "most");
+        if (row.isMember("least"))
+            check.least = config::need_number(row, "least");
+        if (row.isMember("most"))
+            check.most = config::need_number(row, "most");
         if (!check.least && !check.most)
             throw config::Error(fmt::format("field 'checks': '{}' has no bound", check.name));
         checks.push_back(std::move(check));
@@ -176,12 +178,16 @@
     if (root.isMember("lists"))
         e.list_least = number(root["lists"], "late_from", 0),
         e.list_most = number(root["lists"], "late_to", 0);
-    if (e.list_most < e.list_least) throw Error("field 'lists': 'late_to' is before 'late_from'");
+    if (e.list_most < e.list_least)
+        throw Error("field 'lists': 'late_to' is before 'late_from'");
     if (root.isMember("node")) {
         const Json::Value &n = root["node"];
-        e.node = {count(n, "cores", e.node.cores),          number(n, "unit_ms", e.node.unit_ms),
-                  number(n, "sigma", e.node.sigma),         count(n, "queue", e.node.queue),
-                  number(n, "cold_from", e.node.cold_from), number(n, "cold_s", e.node.cold_s),
+        e.node = {count(n, "cores", e.node.cores),
+                  number(n, "unit_ms", e.node.unit_ms),
+                  number(n, "sigma", e.node.sigma),
+                  count(n, "queue", e.node.queue),
+                  number(n, "cold_from", e.node.slow_start_initial_fraction),
+                  number(n, "cold_s", e.node.cold_s),
                   number(n, "put_off", e.node.put_off)};
     }
     for (const Json::Value &v : root["volumes"])
@@ -194,8 +200,10 @@
     for (const Json::Value &f : root["faults"]) {
         Fault fault{need_number(f, "at"), number(f, "length", 0), need_text(f, "what"), count(f, "cell", 0),
                     count(f, "index", 0)};
-        for (const Json::Value &n : f["from"]) fault.from.insert(n.asInt());
-        for (const Json::Value &n : f["to"]) fault.to.insert(n.asInt());
+        for (const Json::Value &n : f["from"])
+            fault.from.insert(n.asInt());
+        for (const Json::Value &n : f["to"])
+            fault.to.insert(n.asInt());
         fault.lost = number(f, "lost", 0), fault.doubled = number(f, "doubled", 0);
         fault.late_least = number(f, "late_from", 0),
         fault.late_most = number(f, "late_to", fault.late_least);
@@ -212,30 +220,35 @@
         e.moves = count(root["moves"], "count", 0);
         e.moves_from = need_number(root["moves"], "from"), e.moves_to = need_number(root["moves"], "to");
     }
-    for (const Json::Value &w : root["compare_without"]) e.without.push_back(w.asString());
+    for (const Json::Value &w : root["compare_without"])
+        e.without.push_back(w.asString());
     e.checks = read_checks(root["checks"]);
     e.settings = root["settings"];
     const Settings settings = read_settings(e.settings, 0);
-    if (settings.ask_for_list && e.list_most > 0)
+    if (settings.poll_endpoint_list && e.list_most > 0)
         throw Error("field 'lists': only lists that are pushed come late");
     const auto has_plan = [&](const std::string &name) {
         for (const PlanSettings &p : settings.plans)
-            if (p.name == name) return;
+            if (p.name == name)
+                return;
         throw Error(fmt::format("field 'plan': no plan is called '{}'", name));
     };
-    for (const VolumeKind &v : e.volumes) has_plan(v.plan);
+    for (const VolumeKind &v : e.volumes)
+        has_plan(v.plan);
     for (const Surge &s : e.surges) {
         has_plan(s.plan);
-        if (s.cell >= e.cells) throw Error("field 'surges': there is no such cell");
+        if (s.cell >= e.cells)
+            throw Error("field 'surges': there is no such cell");
     }
     for (const Fault &f : e.faults)
-        if (f.cell >= e.cells) throw Error("field 'faults': there is no such cell");
+        if (f.cell >= e.cells)
+            throw Error("field 'faults': there is no such cell");
     if (e.peers && !settings.peers)
         throw Error("field 'peers': 'bounds.peers' of the settings does not allow them");
     if (e.moves > 0 && (e.cells < 2 || e.moves_to <= e.moves_from))
         throw Error("field 'moves': two cells and some time are needed");
-    if (settings.classes.size() < 2 || settings.classes[0].effect != Effect::Safe ||
-        settings.classes[1].effect != Effect::Keyed)
+    if (settings.classes.size() < 2 || settings.classes[0].idempotency != Idempotency::Idempotent ||
+        settings.classes[1].idempotency != Idempotency::WithKey)
         throw Error("field 'settings': wanted are a safe class to read with, then a keyed one to write with");
     return e;
 }
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -11,11 +11,12 @@
 
 struct NodeModel {
     int cores = 2;
-    double unit_ms = 2;                   // work of one unit on one core, on the mean
-    double sigma = 0.35;                  // of its logarithm
-    int queue = 64;                       // requests that wait, beyond which it turns away
-    double cold_from = 0.18, cold_s = 17; // part of its speed after a start, and until when it grows to 1
-    double put_off = 0.1;                 // part of the writes answered before most of their work
+    double unit_ms = 2;  // work of one unit on one core, on the mean
+    double sigma = 0.35; // of its logarithm
+    int queue = 64;      // requests that wait, beyond which it turns away
+    double slow_start_initial_fraction = 0.18,
+           cold_s = 17;   // part of its speed after a start, and until when it grows to 1
+    double put_off = 0.1; // part of the writes answered before most of their work
     double capacity() const { return cores / unit_ms * 1000; } // units a second
 };
 
--- a/src/lab/helpers.hpp
+++ b/src/lab/helpers.hpp
@@ -10,7 +10,9 @@
 
 namespace marblewood::lab {
 
-inline Micros micros(double seconds) { return static_cast<Micros>(seconds * 1e6); }
+inline Micros micros(double seconds) {
+    return static_cast<Micros>(seconds * 1e6);
+}
 
 inline boost::asio::ip::tcp::endpoint loopback(int port) {
     return {boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)};
@@ -25,7 +27,8 @@
 
 /// For coroutines whose failure must end the run.
 inline void rethrow(const std::exception_ptr &error) {
-    if (error) std::rethrow_exception(error);
+    if (error)
+        std::rethrow_exception(error);
 }
 
 } // namespace marblewood::lab
--- a/src/lab/lists.cpp
+++ b/src/lab/lists.cpp
@@ -32,7 +32,9 @@
         agents_.push_back(std::make_unique<Agent>(std::move(acceptor), port));
     }
 }
-int Lists::port(std::size_t broker) const { return agents_[broker]->port; }
+int Lists::port(std::size_t broker) const {
+    return agents_[broker]->port;
+}
 
 void Lists::start(const Members &members) {
     for (std::size_t n = 0; n < agents_.size(); ++n) {
@@ -50,19 +52,24 @@
         asio::co_spawn(io_,
                        push(*agents_[n], at, version_, members(n),
                             [left, told] {
-                                if (--*left == 0 && told) told();
+                                if (--*left == 0 && told)
+                                    told();
                             }),
                        asio::detached);
     }
 }
 
-void Lists::silence(Micros length) { silent_until_ = deadlines_.clock.now() + length; }
+void Lists::silence(Micros length) {
+    silent_until_ = deadlines_.clock.now() + length;
+}
 
 asio::awaitable<void> Lists::push(Agent &agent, Micros at, int version, std::string members,
                                   std::function<void()> told) {
     co_await rest(io_, at - deadlines_.clock.now());
-    while (deadlines_.clock.now() < silent_until_) co_await rest(io_, silent_until_ - deadlines_.clock.now());
-    if (version > agent.version) agent.version = version, agent.members = std::move(members);
+    while (deadlines_.clock.now() < silent_until_)
+        co_await rest(io_, silent_until_ - deadlines_.clock.now());
+    if (version > agent.version)
+        agent.version = version, agent.members = std::move(members);
     told();
 }
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -33,7 +33,8 @@
     fmt::print("{}, seed {}: {} s\n", experiment.name, seed, experiment.seconds);
     auto *const world = new lab::World(experiment, seed, out / "run", {});
     auto metrics = world->run();
-    if (!base.empty()) lab::compare(experiment, metrics, base);
+    if (!base.empty())
+        lab::compare(experiment, metrics, base);
     const auto verdicts = lab::judge(experiment.checks, metrics);
     lab::print(metrics, verdicts);
     lab::write_result(out, experiment, seed, metrics, verdicts, world->series());
@@ -69,17 +70,20 @@
     Task task;
     if (scale) {
         task.plan = lab::scale::read_plan(text);
-        if (task.plan->fleet) lab::scale::check_load(*task.plan->fleet, lab::scale::machine_memory_mb());
+        if (task.plan->fleet)
+            lab::scale::check_load(*task.plan->fleet, lab::scale::machine_memory_mb());
         return task;
     }
     task.experiment = lab::read_experiment(text);
-    if (seconds > 0) task.experiment->seconds = seconds;
+    if (seconds > 0)
+        task.experiment->seconds = seconds;
     return task;
 }
 
 void allow_many_descriptors() {
     rlimit files{};
-    if (getrlimit(RLIMIT_NOFILE, &files) != 0) return;
+    if (getrlimit(RLIMIT_NOFILE, &files) != 0)
+        return;
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
 }
@@ -115,7 +119,8 @@
     }
     Task task;
     try {
-        if (*hollow) return lab::scale::run_hollow_process(file);
+        if (*hollow)
+            return lab::scale::run_hollow_process(file);
         task = read(file, *scale || *check_scale, seconds);
     } catch (const std::exception &error) {
         fmt::print(stderr, "marblewood-lab: {}: {}\n", file, error.what());
--- a/src/lab/network_faults.cpp
+++ b/src/lab/network_faults.cpp
@@ -9,13 +9,16 @@
 std::vector<Micros> NetworkFaults::arrivals(int from, int to, Micros now) {
     std::vector<Micros> copies{0};
     for (const Spell &spell : spells_) {
-        if (!spell.holds(false, from, to, now)) continue;
-        if (spell.cut || boost::random::bernoulli_distribution<double>(spell.lost)(random_)) return {};
+        if (!spell.holds(false, from, to, now))
+            continue;
+        if (spell.cut || boost::random::bernoulli_distribution<double>(spell.lost)(random_))
+            return {};
         if (boost::random::bernoulli_distribution<double>(spell.doubled)(random_))
             copies.push_back(copies.front());
         boost::random::uniform_int_distribution<Micros> late(spell.late_least,
                                                              std::max(spell.late_least, spell.late_most));
-        for (Micros &copy : copies) copy += late(random_);
+        for (Micros &copy : copies)
+            copy += late(random_);
     }
     return copies;
 }
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -25,19 +25,23 @@
 } // namespace
 
 EmulatedNode::EmulatedNode(asio::io_context &io, core::Deadlines &deadlines, std::string name,
-                           const NodeModel &model, Micros fall_window, std::uint64_t seed,
-                           Surroundings around)
+                           const NodeModel &model, Micros slow_start_window, std::uint64_t seed,
+                           DispatcherCallbacks around)
     : io_(io), deadlines_(deadlines), name_(std::move(name)), model_(model),
       acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)), random_(seed),
-      around_(std::move(around)), cold_(model, fall_window), cores_(static_cast<std::size_t>(model.cores)) {
+      around_(std::move(around)), cold_(model, slow_start_window),
+      cores_(static_cast<std::size_t>(model.cores)) {
     port_ = acceptor_.local_endpoint().port();
 }
 
-void EmulatedNode::start() { asio::co_spawn(io_, accept(), asio::detached); }
+void EmulatedNode::start() {
+    asio::co_spawn(io_, accept(), asio::detached);
+}
 
 void EmulatedNode::pause(Micros length) {
     paused_until_ = deadlines_.clock.now() + length;
-    for (Micros &core : cores_) core = std::max(core, deadlines_.clock.now()) + length;
+    for (Micros &core : cores_)
+        core = std::max(core, deadlines_.clock.now()) + length;
 }
 
 void EmulatedNode::restart(Micros down) {
@@ -62,7 +66,8 @@
 asio::awaitable<void> EmulatedNode::accept() {
     for (;;) {
         tcp::socket socket = co_await acceptor_.async_accept(asio::use_awaitable);
-        if (deadlines_.clock.now() < down_until_) continue; // closed at once
+        if (deadlines_.clock.now() < down_until_)
+            continue; // closed at once
         boost::system::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
         asio::co_spawn(io_, serve(clients_.emplace(clients_.end(), std::move(socket))), asio::detached);
@@ -88,7 +93,8 @@
         }
         const std::uint64_t generation = generation_;
         const std::string out = co_await answer(*command);
-        if (generation != generation_) break;
+        if (generation != generation_)
+            break;
         co_await asio::async_write(*client, asio::buffer(out),
                                    asio::redirect_error(asio::use_awaitable, error));
     }
@@ -98,7 +104,8 @@
 
 asio::awaitable<std::string> EmulatedNode::answer(const net::resp::Value &command) {
     const auto &words = command.elements;
-    if (words.size() < 4) co_return "+OK\r\n";
+    if (words.size() < 4)
+        co_return "+OK\r\n";
     const bool write = words[0].text == "OBJ.PUT";
     const std::string &list = words[3].text;
     const Micros now = deadlines_.clock.now();
@@ -109,16 +116,20 @@
     std::uint64_t number = 0;
     std::from_chars(volume.data(), volume.data() + volume.size(), number, 16);
     cold_.sent(now, units);
-    if (cold_.speed(now) < 1) cold_units_ += units;
-    if (draining_ && drain_told_ > 0 && now > drain_told_) ++after_drain_;
+    if (cold_.speed(now) < 1)
+        cold_units_ += units;
+    if (draining_ && drain_told_ > 0 && now > drain_told_)
+        ++after_drain_;
     around_.taken(words[2].text, number, units);
     const std::string done = write ? "OK" : "v:" + words[1].text;
     const std::string good = fmt::format("*3\r\n${}\r\n{}\r\n$-1\r\n$-1\r\n", done.size(), done);
-    if (draining_ || held_ >= model_.cores + model_.queue) co_return "-BUSY\r\n";
+    if (draining_ || held_ >= model_.cores + model_.queue)
+        co_return "-BUSY\r\n";
     if (!key.empty()) {
         const std::string both = words[1].text + ' ' + std::string(key);
         const auto [at, fresh] = around_.keys.try_emplace(both, now);
-        if (!fresh && now - at->second < around_.window) co_return good; // a repeat
+        if (!fresh && now - at->second < around_.window)
+            co_return good; // a repeat
         at->second = now;
         around_.ran(both);
     }
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -20,19 +20,20 @@
 // away.
 class EmulatedNode {
 public:
-    struct Surroundings { // what nodes of an experiment share
+    struct DispatcherCallbacks { // what nodes of an experiment share
         std::function<void(const std::string &id, std::uint64_t volume, double units)> taken;
         std::function<void(const std::string &key)> ran; // a keyed write has begun
         std::map<std::string, Micros> &keys;             // of its group: when they were first sent
         Micros window = 0;
     };
     EmulatedNode(asio::io_context &io, core::Deadlines &deadlines, std::string name, const NodeModel &model,
-                 Micros fall_window, std::uint64_t seed, Surroundings around);
+                 Micros slow_start_window, std::uint64_t seed, DispatcherCallbacks around);
     void start();
     void drain(bool on) { draining_ = on, drain_told_ = 0, drains_ += on; }
     // Every broker has been told of this drain. What still comes after `grace` is counted.
     void told_of_drain(int drain, Micros grace) {
-        if (draining_ && drain == drains_ && drain_told_ == 0) drain_told_ = deadlines_.clock.now() + grace;
+        if (draining_ && drain == drains_ && drain_told_ == 0)
+            drain_told_ = deadlines_.clock.now() + grace;
     }
     int drains() const { return drains_; } // so far
     int sent_after_drain() const { return after_drain_; }
@@ -46,8 +47,8 @@
     bool draining() const { return draining_; }
     Micros up_since() const { return up_since_; }
     double cold_worst() const { return cold_.worst(); }
-    double cold_units() const { return cold_units_; } // sent here while it was cold
-    Micros cold_time() const { return cold_from_; }   // when it was last cold from, 0: never
+    double slow_start_units() const { return cold_units_; } // sent here while it was cold
+    Micros cold_time() const { return cold_from_; }         // when it was last cold from, 0: never
 
 private:
     asio::awaitable<void> accept();
@@ -62,7 +63,7 @@
     tcp::acceptor acceptor_;
     int port_ = 0;
     std::mt19937_64 random_;
-    Surroundings around_;
+    DispatcherCallbacks around_;
     ColdWatch cold_;
     std::vector<Micros> cores_; // when each is free
     std::list<tcp::socket> clients_;
--- a/src/lab/oracle.cpp
+++ b/src/lab/oracle.cpp
@@ -12,17 +12,21 @@
 }
 
 double ColdWatch::speed(Micros now) const {
-    if (!since_ || model_.cold_s <= 0) return 1;
+    if (!since_ || model_.cold_s <= 0)
+        return 1;
     const double age = static_cast<double>(now - *since_) / 1e6;
-    return std::min(1.0, model_.cold_from + (1 - model_.cold_from) * age / model_.cold_s);
+    return std::min(1.0, model_.slow_start_initial_fraction +
+                             (1 - model_.slow_start_initial_fraction) * age / model_.cold_s);
 }
 
 void ColdWatch::sent(Micros now, double units) {
-    if (!since_ || speed(now) >= 1) return;
+    if (!since_ || speed(now) >= 1)
+        return;
     sent_.emplace_back(now, units);
     sum_ += units;
     std::size_t gone = 0;
-    while (sent_[gone].first < now - window_) sum_ -= sent_[gone++].second;
+    while (sent_[gone].first < now - window_)
+        sum_ -= sent_[gone++].second;
     sent_.erase(sent_.begin(), sent_.begin() + static_cast<std::ptrdiff_t>(gone));
     const double bears = kMultiple * model_.capacity() * speed(now) * static_cast<double>(window_) / 1e6;
     worst_ = std::max(worst_, sum_ / bears);
@@ -46,13 +50,15 @@
 void Oracle::refused(Micros now, const Asking &asking) {
     ++refused_;
     const auto &limit = limits_[static_cast<std::size_t>(asking.volume)];
-    if (limit && limit->left(now) >= asking.units) ++refused_with_room_;
+    if (limit && limit->left(now) >= asking.units)
+        ++refused_with_room_;
 }
 
 void Oracle::asked(const Asking &asking) {
     ++taken_;
     ++first_tries_[static_cast<int>((asking.at - start_) / 1'000'000)];
-    if (asking.surge) surged_.insert(asking.volume);
+    if (asking.surge)
+        surged_.insert(asking.volume);
 }
 
 void Oracle::ended(Micros now, const Asking &a, bool served) {
@@ -70,7 +76,8 @@
         } else {
             const Micros gap = now - (from && *from < a.at ? *from : a.at);
             gap_ = std::max(gap_, gap);
-            if (!limits_[volume]) gap_unlimited_ = std::max(gap_unlimited_, gap);
+            if (!limits_[volume])
+                gap_unlimited_ = std::max(gap_unlimited_, gap);
             from.reset();
         }
     }
@@ -80,34 +87,43 @@
         Share &all = all_seconds_[static_cast<int>(second)];
         all.asked += a.units, all.served += in_time ? a.units : 0;
     }
-    if (second < experiment_.settle) return;
+    if (second < experiment_.settle)
+        return;
     const auto add = [&](Share &share) {
         share.asked += a.units;
-        if (in_time) share.served += a.units;
+        if (in_time)
+            share.served += a.units;
     };
     add(cells_[cell_of_[volume]]);
     add(classes_[a.write]);
     auto &series = series_[cell_of_[volume]];
     if (series.size() <= static_cast<std::size_t>(second))
         series.resize(static_cast<std::size_t>(second) + 1);
-    if (in_time) series[static_cast<std::size_t>(second)] += a.units;
-    if (a.surge) return;
+    if (in_time)
+        series[static_cast<std::size_t>(second)] += a.units;
+    if (a.surge)
+        return;
     add(plans_[plan_of_[volume]]);
     add(seconds_[{a.volume, static_cast<int>(second)}]);
 }
 
 void Oracle::at_node(Micros now, int volume, double units) {
-    if (auto &limit = limits_[static_cast<std::size_t>(volume)]) limit->spend(now, units);
+    if (auto &limit = limits_[static_cast<std::size_t>(volume)])
+        limit->spend(now, units);
 }
 
-void Oracle::ran(const std::string &key, int group) { groups_[key].insert(group); }
+void Oracle::ran(const std::string &key, int group) {
+    groups_[key].insert(group);
+}
 
 double Oracle::quantile(double q) const {
     double all = 0, sum = 0;
-    for (const double n : latencies_) all += n;
+    for (const double n : latencies_)
+        all += n;
     for (const auto &bin : boost::histogram::indexed(latencies_)) {
         sum += *bin;
-        if (all > 0 && sum >= q * all) return bin.bin().upper();
+        if (all > 0 && sum >= q * all)
+            return bin.bin().upper();
     }
     return 0;
 }
@@ -144,16 +160,20 @@
         reserve.asked += due, reserve.served += std::min(due, share.served);
         Share &cell = reserves[cell_of_[volume]];
         cell.asked += due, cell.served += std::min(due, share.served);
-        if (surged_.contains(at.first)) continue;
+        if (surged_.contains(at.first))
+            continue;
         Share &other = others[cell_of_[volume]];
         other.asked += due, other.served += std::min(due, share.served);
     }
     m["reserve"] = reserve.part();
-    for (const auto &[cell, share] : reserves) m[fmt::format("reserve.cell.{}", cell)] = share.part();
-    for (const auto &[cell, share] : others) m[fmt::format("reserve.others.cell.{}", cell)] = share.part();
+    for (const auto &[cell, share] : reserves)
+        m[fmt::format("reserve.cell.{}", cell)] = share.part();
+    for (const auto &[cell, share] : others)
+        m[fmt::format("reserve.others.cell.{}", cell)] = share.part();
     double worst = 0, used = 0;
     for (const auto &limit : limits_)
-        if (limit) worst = std::max(worst, limit->worst()), used = std::max(used, limit->used());
+        if (limit)
+            worst = std::max(worst, limit->worst()), used = std::max(used, limit->used());
     m["limit.used"] = used;
     count("limit.refused_with_room", refused_with_room_);
     // Service a second, volumes with limits and surges apart: before the surge, and the least from 3 s after
@@ -165,7 +185,8 @@
             const double from = at, over = static_cast<double>(surge_over_) / 1e6;
             if (from >= experiment_.settle && from + 1 <= experiment_.surges.front().at)
                 before.asked += share.asked, before.served += share.served;
-            if (from >= over + 3 && from + 1 < experiment_.seconds) least = std::min(least, share.part());
+            if (from >= over + 3 && from + 1 < experiment_.seconds)
+                least = std::min(least, share.part());
         }
         m["recovered"] = before.part() > 0 ? least / before.part() : 0;
     }
@@ -183,13 +204,15 @@
         if (second > 0)
             worst_ratio = std::max(worst_ratio, static_cast<double>(tried) / static_cast<double>(first));
     }
-    if (taken_ > 0) m["attempts.ratio"] = static_cast<double>(all_attempts) / static_cast<double>(taken_);
+    if (taken_ > 0)
+        m["attempts.ratio"] = static_cast<double>(all_attempts) / static_cast<double>(taken_);
     m["attempts.worst"] = worst_ratio;
     m["limit.worst"] = worst;
     m["gap_ms"] = static_cast<double>(gap_) / 1000;
     m["gap_ms.unlimited"] = static_cast<double>(gap_unlimited_) / 1000;
     std::uint64_t doubled = 0;
-    for (const auto &[key, groups] : groups_) doubled += groups.size() > 1;
+    for (const auto &[key, groups] : groups_)
+        doubled += groups.size() > 1;
     count("writes.doubled", doubled);
     count("writes.keys", groups_.size());
     m["latency_ms.p50"] = quantile(0.5);
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -23,7 +23,8 @@
         at.sin_port = htons(static_cast<std::uint16_t>(last));
         const bool good = ::bind(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0;
         ::close(fd);
-        if (good) return last;
+        if (good)
+            return last;
     }
 }
 std::string program_path() {
@@ -32,24 +33,31 @@
 
 void Process::start() {
     std::vector<char *> argv;
-    for (std::string &word : command) argv.push_back(word.data());
+    for (std::string &word : command)
+        argv.push_back(word.data());
     argv.push_back(nullptr);
     const pid_t parent = ::getpid();
     pid = ::fork();
-    if (pid != 0) return;
+    if (pid != 0)
+        return;
     const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    if (out < 0 || ::dup2(out, 2) < 0 || ::dup2(out, 1) < 0) ::_exit(127);
+    if (out < 0 || ::dup2(out, 2) < 0 || ::dup2(out, 1) < 0)
+        ::_exit(127);
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != parent) ::_exit(127);
-    for (int fd = 3; fd < 1024; ++fd) ::close(fd);
+    if (::getppid() != parent)
+        ::_exit(127);
+    for (int fd = 3; fd < 1024; ++fd)
+        ::close(fd);
     ::execv(argv[0], argv.data());
     ::_exit(127);
 }
 void Process::signal(int number) const {
-    if (pid > 0) ::kill(pid, number);
+    if (pid > 0)
+        ::kill(pid, number);
 }
 void Process::kill() {
-    if (pid <= 0) return;
+    if (pid <= 0)
+        return;
     ::kill(pid, SIGKILL);
     ::waitpid(std::exchange(pid, -1), nullptr, 0);
 }
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -47,13 +47,17 @@
         boost::system::error_code error;
         const std::size_t got = co_await socket.async_receive_from(
             asio::buffer(data), sender, asio::redirect_error(asio::use_awaitable, error));
-        if (error == asio::error::operation_aborted) co_return;
-        if (error || sender.port() != listens_[static_cast<std::size_t>(from)]) continue; // not that broker's
+        if (error == asio::error::operation_aborted)
+            co_return;
+        if (error || sender.port() != listens_[static_cast<std::size_t>(from)])
+            continue; // not that broker's
         for (const auto &[pair, other] : sockets_) {
-            if (pair.first != from || pair.second == from || (to >= 0 && pair.second != to)) continue;
+            if (pair.first != from || pair.second == from || (to >= 0 && pair.second != to))
+                continue;
             ++sent_, bytes_ += got;
             const auto copies = network_faults_.arrivals(from, pair.second, deadlines_.clock.now() - start_);
-            if (copies.empty()) ++lost_;
+            if (copies.empty())
+                ++lost_;
             for (const Micros late : copies)
                 asio::co_spawn(io_, deliver(from, pair.second, std::string(data.data(), got), late),
                                asio::detached);
@@ -61,7 +65,8 @@
     }
 }
 asio::awaitable<void> DatagramRelay::deliver(int from, int to, std::string data, Micros late) {
-    if (late > 0) co_await rest(io_, late);
+    if (late > 0)
+        co_await rest(io_, late);
     boost::system::error_code ignored;
     sockets_.at({to, from})
         .send_to(asio::buffer(data), local<udp>(listens_[static_cast<std::size_t>(to)]), 0, ignored);
@@ -73,7 +78,9 @@
       acceptor_(io, local<tcp>(0)) {
     port_ = acceptor_.local_endpoint().port();
 }
-void StreamRelay::start() { asio::co_spawn(io_, accept(), asio::detached); }
+void StreamRelay::start() {
+    asio::co_spawn(io_, accept(), asio::detached);
+}
 void StreamRelay::Pair::close() {
     boost::system::error_code ignored;
     for (tcp::socket *socket : {&broker, &node}) {
@@ -83,7 +90,8 @@
 }
 void StreamRelay::break_all() {
     for (const auto &weak : pairs_)
-        if (const auto pair = weak.lock()) pair->close();
+        if (const auto pair = weak.lock())
+            pair->close();
     pairs_.clear();
 }
 
@@ -97,10 +105,12 @@
     }
 }
 asio::awaitable<void> StreamRelay::serve(std::shared_ptr<Pair> pair) {
-    while (silent_()) co_await rest(io_, kTick);
+    while (silent_())
+        co_await rest(io_, kTick);
     const auto error =
         co_await net::dial(pair->node, local<tcp>(target_), deadlines_.clock.now() + 1'000'000, deadlines_);
-    if (error) co_return pair->close();
+    if (error)
+        co_return pair->close();
     boost::system::error_code ignored;
     pair->broker.set_option(tcp::no_delay(true), ignored);
     asio::co_spawn(io_, pump(pair, pair->broker, pair->node), asio::detached);
@@ -110,7 +120,8 @@
     std::string data;
     for (;;) {
         boost::system::error_code error = co_await net::read_more(from, data);
-        while (silent_() && from.is_open()) co_await rest(io_, kTick);
+        while (silent_() && from.is_open())
+            co_await rest(io_, kTick);
         if (!error)
             co_await asio::async_write(to, asio::buffer(data),
                                        asio::redirect_error(asio::use_awaitable, error));
@@ -119,7 +130,8 @@
             to.shutdown(tcp::socket::shutdown_send, error);
             co_return;
         }
-        if (error) co_return pair->close();
+        if (error)
+            co_return pair->close();
     }
 }
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -11,8 +11,10 @@
 
 std::string bound(const Check &c) {
     std::string text;
-    if (c.least) text += fmt::format(">= {:g}", *c.least);
-    if (c.most) text += fmt::format("{}<= {:g}", text.empty() ? "" : " and ", *c.most);
+    if (c.least)
+        text += fmt::format(">= {:g}", *c.least);
+    if (c.most)
+        text += fmt::format("{}<= {:g}", text.empty() ? "" : " and ", *c.most);
     return text;
 }
 
@@ -48,23 +50,28 @@
 void compare(const Experiment &experiment, std::map<std::string, double> &metrics,
              const std::map<std::string, double> &base) {
     std::set<int> surged;
-    for (const Surge &surge : experiment.surges) surged.insert(surge.cell);
+    for (const Surge &surge : experiment.surges)
+        surged.insert(surge.cell);
     double others = 1e9;
     for (int cell = 0; cell < experiment.cells; ++cell) {
         const std::string name = fmt::format("served.cell.{}", cell);
         const auto was = base.find(name);
         const auto is = metrics.find(name);
-        if (was == base.end() || is == metrics.end() || was->second <= 0) continue;
+        if (was == base.end() || is == metrics.end() || was->second <= 0)
+            continue;
         const double kept = is->second / was->second;
         metrics[fmt::format("kept.cell.{}", cell)] = kept;
-        if (!surged.contains(cell)) others = std::min(others, kept);
+        if (!surged.contains(cell))
+            others = std::min(others, kept);
     }
-    if (others < 1e9) metrics["kept.others"] = others;
+    if (others < 1e9)
+        metrics["kept.others"] = others;
     if (const auto was = base.find("reserve"); was != base.end() && was->second > 0)
         metrics["kept.reserve"] = metrics["reserve"] / was->second;
     for (const auto &[name, value] : base) {
         metrics["base." + name] = value;
-        if (value > 0 && metrics.contains(name)) metrics["of_base." + name] = metrics[name] / value;
+        if (value > 0 && metrics.contains(name))
+            metrics["of_base." + name] = metrics[name] / value;
     }
 }
 
@@ -75,15 +82,18 @@
     root["experiment"] = experiment.name;
     root["seed"] = static_cast<Json::UInt64>(seed);
     root["checks"] = to_json(verdicts);
-    for (const auto &[name, value] : metrics) root["metrics"][name] = value;
+    for (const auto &[name, value] : metrics)
+        root["metrics"][name] = value;
     for (const auto &[cell, seconds] : series)
-        for (const double units : seconds) root["series"][fmt::format("served.cell.{}", cell)].append(units);
+        for (const double units : seconds)
+            root["series"][fmt::format("served.cell.{}", cell)].append(units);
     std::ofstream(folder / "result.json") << root.toStyledString();
 }
 
 void print(const std::map<std::string, double> &metrics, const std::vector<Verdict> &verdicts) {
     for (const auto &[name, value] : metrics)
-        if (!name.starts_with("base.")) fmt::print("  {:<44} {:>12.4g}\n", name, value);
+        if (!name.starts_with("base."))
+            fmt::print("  {:<44} {:>12.4g}\n", name, value);
     fmt::print("\n  {:<44} {:>12}  {:<16} {}\n", "check", "value", "bound", "holds");
     for (const Verdict &v : verdicts)
         fmt::print("  {:<44} {:>12}  {:<16} {}\n", v.check.name,
@@ -98,7 +108,8 @@
         for (const auto &[cell, seconds] : of) {
             const auto file = folder / fmt::format("{}-{}.dat", name, cell);
             std::ofstream data(file);
-            for (std::size_t n = 0; n < seconds.size(); ++n) data << n << ' ' << seconds[n] << '\n';
+            for (std::size_t n = 0; n < seconds.size(); ++n)
+                data << n << ' ' << seconds[n] << '\n';
             lines += fmt::format("{}'{}' using 1:2 with lines lc {} {} title 'cell {}{}'",
                                  lines.empty() ? "" : ", ", file.string(), cell + 1,
                                  name == std::string("base") ? "dt 3" : "lw 2", cell,
@@ -107,9 +118,11 @@
     };
     put(series, "run");
     put(base, "base");
-    if (lines.empty()) return false;
+    if (lines.empty())
+        return false;
     std::FILE *const gnuplot = ::popen("gnuplot 2>/dev/null", "w");
-    if (!gnuplot) return false;
+    if (!gnuplot)
+        return false;
     fmt::print(
         gnuplot,
         "set terminal svg size 900,420 font 'sans,11'\nset output '{}'\nset title '{}' noenhanced\nset "
--- a/src/lab/scale/client_load.cpp
+++ b/src/lab/scale/client_load.cpp
@@ -66,7 +66,8 @@
         broker_.start();
         const Micros until = clock_.now() + kUpWithin;
         while (!co_await connect()) {
-            if (clock_.now() > until) throw std::runtime_error("the broker does not come up");
+            if (clock_.now() > until)
+                throw std::runtime_error("the broker does not come up");
             co_await rest(io_, kLook);
         }
         sockets_.clear();
@@ -89,12 +90,14 @@
 
     asio::awaitable<void> hold_connections() {
         for (int n = 0; n < count_; ++n) {
-            if (!co_await connect()) throw std::runtime_error("a client's connection is refused");
+            if (!co_await connect())
+                throw std::runtime_error("a client's connection is refused");
             co_await asio::async_write(sockets_.back(), asio::buffer(kPing), asio::use_awaitable);
         }
         for (auto &socket : sockets_) {
             std::string answer;
-            if (co_await net::read_more(socket, answer)) throw std::runtime_error("a client was closed");
+            if (co_await net::read_more(socket, answer))
+                throw std::runtime_error("a client was closed");
         }
     }
 
@@ -108,14 +111,16 @@
 
     // So many at a time, on one connection.
     asio::awaitable<void> ask_for_volumes() {
-        if (!co_await connect()) throw std::runtime_error("a client's connection is refused");
+        if (!co_await connect())
+            throw std::runtime_error("a client's connection is refused");
         net::resp::Reader reader;
         std::uint64_t number = seed_ * 1'000'000; // of the next volume
         std::string in;
         for (int asked = 0; asked < count_;) {
             std::string text;
             const int more = std::min(kPipelined, count_ - asked);
-            for (int n = 0; n < more; ++n) text += request(number++);
+            for (int n = 0; n < more; ++n)
+                text += request(number++);
             co_await asio::async_write(sockets_.back(), asio::buffer(text), asio::use_awaitable);
             for (int answered = 0; answered < more;) {
                 std::string_view bytes = in;
--- a/src/lab/scale/experiment.cpp
+++ b/src/lab/scale/experiment.cpp
@@ -17,9 +17,12 @@
     fleet.without_list = sweep.without_list;
     fleet.settings = settings;
     double changes = sweep.changes_per_second;
-    if (sweep.of == Sweep::Of::Nodes) fleet.size.nodes = static_cast<int>(value);
-    if (sweep.of == Sweep::Of::Brokers) fleet.size.brokers = static_cast<int>(value);
-    if (sweep.of == Sweep::Of::Changes) changes = value;
+    if (sweep.of == Sweep::Of::Nodes)
+        fleet.size.nodes = static_cast<int>(value);
+    if (sweep.of == Sweep::Of::Brokers)
+        fleet.size.brokers = static_cast<int>(value);
+    if (sweep.of == Sweep::Of::Changes)
+        changes = value;
     fleet.phases.push_back({"rest", sweep.seconds, changes, 0});
     return fleet;
 }
@@ -36,7 +39,8 @@
 std::vector<Slope> run_sweep(const Sweep &sweep, const Plan &plan, std::uint64_t seed,
                              const std::filesystem::path &folder) {
     std::vector<Slope> slopes;
-    for (const std::string &figure : sweep.figures) slopes.push_back({sweep.name, figure, {}, {}});
+    for (const std::string &figure : sweep.figures)
+        slopes.push_back({sweep.name, figure, {}, {}});
     for (const double value : sweep.values)
         for (int repeat = 0; repeat < plan.repeats; ++repeat) {
             const std::uint64_t own_seed = seed + static_cast<std::uint64_t>(repeat);
@@ -45,7 +49,8 @@
             fmt::print("{} {:g}, seed {}:", sweep.name, value, own_seed);
             for (Slope &slope : slopes) {
                 const auto at = figures.find(slope.figure);
-                if (at == figures.end()) throw std::runtime_error("there is no figure " + slope.figure);
+                if (at == figures.end())
+                    throw std::runtime_error("there is no figure " + slope.figure);
                 slope.points.push_back({value, at->second});
                 fmt::print(" {} {:.4g}", slope.figure, at->second);
             }
@@ -76,11 +81,14 @@
         ++sums[point.x].second;
     }
     std::map<double, double> all;
-    for (const auto &[x, sum] : sums) all[x] = sum.first / sum.second;
+    for (const auto &[x, sum] : sums)
+        all[x] = sum.first / sum.second;
     return all;
 }
 
-double percent(double value, double of) { return of == 0 ? 0 : 100 * (value - of) / of; }
+double percent(double value, double of) {
+    return of == 0 ? 0 : 100 * (value - of) / of;
+}
 
 void compare(const Plan &plan, Result &result) {
     for (const Comparison &comparison : plan.comparisons) {
@@ -122,7 +130,8 @@
         FleetPlan direct = *plan.fleet;
         direct.size.distributors = 0;
         direct.size.documents = false; // there is no other way for them
-        for (Phase &phase : direct.phases) phase.documents_per_second = 0;
+        for (Phase &phase : direct.phases)
+            phase.documents_per_second = 0;
         std::erase_if(direct.events, [](const Event &event) {
             return event.kind != Event::Kind::StartZone && event.kind != Event::Kind::RemoveNodes;
         });
@@ -133,7 +142,8 @@
     for (Predicted &predicted : result.predictions) {
         const std::string &name = predicted.prediction.measured;
         const auto at = result.figures.find(name);
-        if (at == result.figures.end()) continue;
+        if (at == result.figures.end())
+            continue;
         predicted.measured = at->second;
         const double error = std::abs(percent(predicted.value, at->second));
         result.figures["predicted." + name + ".error_percent"] = error;
@@ -150,7 +160,8 @@
     root["experiment"] = plan.name;
     root["seed"] = static_cast<Json::UInt64>(seed);
     root["checks"] = to_json(verdicts);
-    for (const auto &[name, value] : result.figures) root["metrics"][name] = value;
+    for (const auto &[name, value] : result.figures)
+        root["metrics"][name] = value;
     for (const Slope &slope : result.slopes) {
         Json::Value row;
         row["sweep"] = slope.sweep, row["figure"] = slope.figure;
@@ -171,7 +182,8 @@
         row["at"] = predicted.prediction.at, row["times"] = predicted.prediction.times;
         row["predicted"] = predicted.value;
         row["metric"] = predicted.prediction.measured;
-        if (predicted.measured) row["measured"] = *predicted.measured;
+        if (predicted.measured)
+            row["measured"] = *predicted.measured;
         root["predictions"].append(std::move(row));
     }
     std::ofstream(folder / "result.json") << root.toStyledString();
--- a/src/lab/scale/fleet_layout.cpp
+++ b/src/lab/scale/fleet_layout.cpp
@@ -24,8 +24,10 @@
 int FleetLayout::zone_of_broker(int position) const {
     const auto start = std::find_if(plan_.events.begin(), plan_.events.end(),
                                     [](const Event &e) { return e.kind == Event::Kind::StartZone; });
-    if (start == plan_.events.end() || size_.zones == 1) return position % size_.zones;
-    if (position >= size_.brokers - start->count) return start->index;
+    if (start == plan_.events.end() || size_.zones == 1)
+        return position % size_.zones;
+    if (position >= size_.brokers - start->count)
+        return start->index;
     const int zone = position % (size_.zones - 1);
     return zone < start->index ? zone : zone + 1;
 }
@@ -49,7 +51,8 @@
         row["name"] = "discovery";
         row["address"] = fmt::format("127.0.0.1:{}", parent_port(region_of(zone)));
         root["parents"].append(std::move(row));
-        if (size_.documents) root["documents"] = documents_part(n);
+        if (size_.documents)
+            root["documents"] = documents_part(n);
         const std::string file = folder_ / (distributor.entry.name + ".json");
         std::ofstream(file) << root.toStyledString();
         distributor.process.command = {program_path(), "distribute", file};
@@ -90,13 +93,15 @@
 void FleetLayout::set_up_brokers() {
     int late = 0;
     for (const Event &event : plan_.events)
-        if (event.kind == Event::Kind::StartZone) late += event.count;
+        if (event.kind == Event::Kind::StartZone)
+            late += event.count;
     const auto add = [&](int from, int until, bool held_back) {
         const int most = plan_.real ? 1 : size_.per_process;
         for (int first = from; first < until; first += most) {
             BrokerHost host;
             host.late = held_back;
-            for (int n = first; n < std::min(first + most, until); ++n) host.positions.push_back(n);
+            for (int n = first; n < std::min(first + most, until); ++n)
+                host.positions.push_back(n);
             hosts.push_back(std::move(host));
         }
     };
@@ -120,8 +125,10 @@
     root["documents"] = size_.documents;
     root["peer_port"] = peer_port_;
     root["discovery"] = fmt::format("127.0.0.1:{}", discovery_port_);
-    if (!distributors.empty()) root["distribution"] = distribution_part(0);
-    if (!plan_.without_list) root["known"] = (folder_ / "known.json").string();
+    if (!distributors.empty())
+        root["distribution"] = distribution_part(0);
+    if (!plan_.without_list)
+        root["known"] = (folder_ / "known.json").string();
     for (const int position : host.positions) {
         Json::Value row;
         row["position"] = position;
@@ -146,7 +153,8 @@
     root["settings"] = plan_.settings;
     root["settings"]["instances"] = size_.brokers;
     root["settings"]["position"] = position;
-    if (!plan_.without_list) root["known"] = config::parse(list_);
+    if (!plan_.without_list)
+        root["known"] = config::parse(list_);
     const std::string file = folder_ / fmt::format("n{}.json", position);
     std::ofstream(file) << root.toStyledString();
     host.process.command = {program_path(), "serve", "--config", file};
--- a/src/lab/scale/fleet_run.cpp
+++ b/src/lab/scale/fleet_run.cpp
@@ -45,7 +45,8 @@
           cut_until_(static_cast<std::size_t>(plan.size.regions)),
           layout_(plan, seed, std::move(folder), source_.port(), source_.whole(),
                   [this](int region) { return parent_port(region); }) {
-        if (size_.documents) publish_document();
+        if (size_.documents)
+            publish_document();
     }
 
     Figures run() {
@@ -54,8 +55,10 @@
             io_.stop();
         });
         io_.run();
-        for (BrokerHost &host : layout_.hosts) host.process.kill();
-        for (DistributorHost &distributor : layout_.distributors) distributor.process.kill();
+        for (BrokerHost &host : layout_.hosts)
+            host.process.kill();
+        for (DistributorHost &distributor : layout_.distributors)
+            distributor.process.kill();
         rethrow(failure_);
         return figures_;
     }
@@ -106,9 +109,11 @@
 
 int FleetRun::parent_port(int region) {
     const auto is_cut = [](const Event &event) { return event.kind == Event::Kind::CutRegion; };
-    if (std::none_of(plan_.events.begin(), plan_.events.end(), is_cut)) return source_.port();
+    if (std::none_of(plan_.events.begin(), plan_.events.end(), is_cut))
+        return source_.port();
     auto &relay = relays_[region];
-    if (relay) return relay->port();
+    if (relay)
+        return relay->port();
     const auto silent = [this, region] {
         return clock_.now() < cut_until_[static_cast<std::size_t>(region)];
     };
@@ -124,11 +129,13 @@
     root["operations"]["cordons"].append(fmt::format("s-cordoned-{}", version));
     std::ofstream(layout_.document_file()) << root.toStyledString();
     documents_.push_back({version, clock_.now(), "", 1});
-    if (layout_.distributors.front().process.pid > 0) layout_.distributors.front().process.signal(SIGHUP);
+    if (layout_.distributors.front().process.pid > 0)
+        layout_.distributors.front().process.signal(SIGHUP);
 }
 
 asio::awaitable<void> FleetRun::documents(double per_second, Micros until) {
-    if (per_second <= 0) co_return;
+    if (per_second <= 0)
+        co_return;
     const Micros gap = micros(1 / per_second);
     for (Micros next = clock_.now() + gap / 2; next < until; next += gap) {
         co_await rest(io_, next - clock_.now());
@@ -144,26 +151,33 @@
 int FleetRun::brokers_up() const {
     int all = 0;
     for (const BrokerHost &host : layout_.hosts)
-        if (host.started > 0) all += static_cast<int>(host.positions.size());
+        if (host.started > 0)
+            all += static_cast<int>(host.positions.size());
     return all;
 }
 
 asio::awaitable<void> FleetRun::main() {
-    for (DistributorHost &distributor : layout_.distributors) distributor.process.start();
+    for (DistributorHost &distributor : layout_.distributors)
+        distributor.process.start();
     co_await await_distributors();
     for (BrokerHost &host : layout_.hosts)
-        if (!host.late) start(host);
+        if (!host.late)
+            start(host);
     co_await await_brokers(brokers_up());
     co_await rest(io_, kSettle);
     const Micros begin = clock_.now();
     for (const Event &event : plan_.events)
         asio::co_spawn(io_, this->event(event), [this](const std::exception_ptr &error) {
-            if (error) failure_ = error, io_.stop();
+            if (error)
+                failure_ = error, io_.stop();
         });
-    for (const Phase &phase : plan_.phases) co_await this->phase(phase);
+    for (const Phase &phase : plan_.phases)
+        co_await this->phase(phase);
     figures_["seconds"] = static_cast<double>(clock_.now() - begin) / 1e6;
-    if (!plan_.events.empty() || size_.documents) co_await rest(io_, kQuiet);
-    for (DistributorHost &distributor : layout_.distributors) co_await ask(distributor);
+    if (!plan_.events.empty() || size_.documents)
+        co_await rest(io_, kQuiet);
+    for (DistributorHost &distributor : layout_.distributors)
+        co_await ask(distributor);
     stop_hosts();
     read_records();
     count_all();
@@ -174,8 +188,10 @@
     for (DistributorHost &distributor : layout_.distributors)
         for (;;) {
             co_await ask(distributor);
-            if (distributor.told["members"] >= size_.nodes) break;
-            if (clock_.now() > until) throw std::runtime_error(distributor.entry.name + " does not come up");
+            if (distributor.told["members"] >= size_.nodes)
+                break;
+            if (clock_.now() > until)
+                throw std::runtime_error(distributor.entry.name + " does not come up");
             co_await rest(io_, kLook);
         }
 }
@@ -190,7 +206,8 @@
 }
 
 asio::awaitable<int> FleetRun::callers() {
-    if (layout_.distributors.empty()) co_return static_cast<int>(source_.delivery().callers());
+    if (layout_.distributors.empty())
+        co_return static_cast<int>(source_.delivery().callers());
     double all = 0;
     for (DistributorHost &distributor : layout_.distributors) {
         co_await ask(distributor);
@@ -203,10 +220,12 @@
 asio::awaitable<void> FleetRun::ask(DistributorHost &distributor) {
     asio::ip::tcp::socket socket(io_);
     const Micros until = clock_.now() + kAskWithin;
-    if (co_await net::dial(socket, loopback(distributor.control), until, deadlines_)) co_return;
+    if (co_await net::dial(socket, loopback(distributor.control), until, deadlines_))
+        co_return;
     const auto response = co_await net::http::exchange(
         socket, "GET /admin/stats HTTP/1.1\r\nHost: distributor\r\n\r\n", until, deadlines_);
-    if (!response || response->status != 200) co_return;
+    if (!response || response->status != 200)
+        co_return;
     std::istringstream lines(response->body);
     for (std::string line; std::getline(lines, line);) {
         const std::size_t dot = line.find('.'), colon = line.find(':');
@@ -253,7 +272,8 @@
         break;
     case Kind::StartZone:
         for (BrokerHost &host : layout_.hosts)
-            if (host.late && host.started == 0) start(host);
+            if (host.late && host.started == 0)
+                start(host);
         break;
     case Kind::RemoveNodes:
         source_.remove(event.count, event.name);
@@ -277,7 +297,8 @@
         now.distributor_sent += distributor.told["sent_bytes"];
         now.distributor_calls += distributor.told["calls"];
     }
-    for (const BrokerHost &host : layout_.hosts) now.hollow_cpu_s += usage_of(host.process.pid).cpu_s;
+    for (const BrokerHost &host : layout_.hosts)
+        now.hollow_cpu_s += usage_of(host.process.pid).cpu_s;
     now.at = clock_.now();
     now.source_cpu_s = usage_of(::getpid()).cpu_s;
     now.source_calls = static_cast<double>(source_.delivery().figures().calls);
@@ -300,7 +321,8 @@
     put("discovery.calls_per_broker_s", before.source_calls, after.source_calls, brokers);
     put("discovery.bytes_per_broker_s", before.source_sent + before.source_received,
         after.source_sent + after.source_received, brokers);
-    if (layout_.distributors.empty()) return;
+    if (layout_.distributors.empty())
+        return;
     const double count = static_cast<double>(layout_.distributors.size());
     put("distributor.cpu_percent", before.distributor_cpu_s * 100, after.distributor_cpu_s * 100, count);
     put("distributor.sent_bytes_per_s", before.distributor_sent, after.distributor_sent, count);
@@ -321,17 +343,21 @@
             std::max(distributor_kb, static_cast<double>(usage_of(distributor.process.pid).memory_kb));
     figures_["broker.process_kb"] = kb / size_.brokers;
     figures_["broker.cpu_s"] = cpu_s / size_.brokers;
-    if (!layout_.distributors.empty()) figures_["distributor.memory_kb"] = distributor_kb;
+    if (!layout_.distributors.empty())
+        figures_["distributor.memory_kb"] = distributor_kb;
     figures_["discovery.memory_kb"] = static_cast<double>(usage_of(::getpid()).memory_kb);
-    for (const BrokerHost &host : layout_.hosts) host.process.signal(SIGTERM);
+    for (const BrokerHost &host : layout_.hosts)
+        host.process.signal(SIGTERM);
     for (BrokerHost &host : layout_.hosts)
-        if (host.process.pid > 0) ::waitpid(std::exchange(host.process.pid, -1), nullptr, 0);
+        if (host.process.pid > 0)
+            ::waitpid(std::exchange(host.process.pid, -1), nullptr, 0);
 }
 
 void FleetRun::read_records() {
     double hollow_kb = 0;
     for (const BrokerHost &host : layout_.hosts) {
-        if (host.result.empty()) continue;
+        if (host.result.empty())
+            continue;
         const Json::Value root = config::parse(config::read_text(host.result));
         hollow_kb += memory_kb_[host.result] - root["memory_before_kb"].asDouble();
         std::size_t number = 0;
@@ -347,11 +373,13 @@
             record.datagrams = row["datagrams"].asDouble();
             record.adopted = read_adoptions(row["adopted"]);
             record.configured = read_adoptions(row["configured"]);
-            for (const Json::Value &bytes : row["traffic"]) record.traffic.push_back(bytes.asDouble());
+            for (const Json::Value &bytes : row["traffic"])
+                record.traffic.push_back(bytes.asDouble());
             records_.push_back(std::move(record));
         }
     }
-    if (!records_.empty()) figures_["broker.memory_kb"] = hollow_kb / static_cast<double>(records_.size());
+    if (!records_.empty())
+        figures_["broker.memory_kb"] = hollow_kb / static_cast<double>(records_.size());
 }
 
 void FleetRun::count_documents(const std::function<void(const std::string &, const Latencies &)> &put) {
@@ -382,10 +410,12 @@
     }
     figures_["list.whole_bytes"] = static_cast<double>(source_.whole().size());
     figures_["discovery.peak_second_bytes"] = static_cast<double>(source_.figures().peak_second_bytes);
-    if (records_.empty()) return;
+    if (records_.empty())
+        return;
     const auto sum = [this](const auto &of) {
         double all = 0;
-        for (const BrokerRecord &record : records_) all += of(record);
+        for (const BrokerRecord &record : records_)
+            all += of(record);
         return all;
     };
     figures_["brokers"] = static_cast<double>(records_.size());
@@ -398,7 +428,8 @@
         figures_[played.phase.name + ".broker.worst_10s_bytes_per_s"] = found.worst_window;
     }
     const auto put = [&](const std::string &name, const Latencies &found) {
-        if (found.counted == 0 && found.missed == 0) return;
+        if (found.counted == 0 && found.missed == 0)
+            return;
         figures_[name + ".worst_s"] = found.worst_s;
         figures_[name + ".median_s"] = found.median_s;
         figures_[name + ".missed"] = found.missed;
@@ -409,7 +440,8 @@
     const Micros first = changes.front().at;
     const auto after_first = [first](const Published &change) { return change.at > first; };
     put("change", latencies(changes, records_, &BrokerRecord::adopted, outages_, after_first));
-    if (size_.documents) count_documents(put);
+    if (size_.documents)
+        count_documents(put);
     for (const Event &event : plan_.events) {
         const auto of_event = [&event](const Published &change) { return change.event == event.name; };
         put("event." + event.name, latencies(changes, records_, &BrokerRecord::adopted, outages_, of_event));
--- a/src/lab/scale/hollow_broker.cpp
+++ b/src/lab/scale/hollow_broker.cpp
@@ -23,16 +23,19 @@
       settings_(own_settings(config, position)), figures_(settings_.classes.size()),
       resp_port_(io.get_executor(), deadlines, memory_, budget_, settings_),
       nvme_port_(io.get_executor(), deadlines, budget_, settings_, mapping_.block_bytes), ports_(resp_port_),
-      fleet_(nodes_, zones_, mapping_, resp_port_, nvme_port_, ports_, planners_) {
-    core::Surroundings around;
-    around.tell_peers = [this](std::optional<int> peer, const std::string &data) {
-        if (peers_) peers_->tell(peer, data);
+      fleet_(nodes_, zones_, mapping_, resp_port_, nvme_port_, ports_, dispatchers_) {
+    core::DispatcherCallbacks around;
+    around.send_peer_message = [this](std::optional<int> peer, const std::string &data) {
+        if (peers_)
+            peers_->tell(peer, data);
     };
-    planners_.push_back(std::make_unique<core::Planner>(io.get_executor(), deadlines, memory_, figures_,
-                                                        settings_, ports_, around));
-    if (settings_.peers) listen_to_peers(io, config, position);
+    dispatchers_.push_back(std::make_unique<core::RequestDispatcher>(io.get_executor(), deadlines, memory_,
+                                                                     figures_, settings_, ports_, around));
+    if (settings_.peers)
+        listen_to_peers(io, config, position);
     net::discovery::Reading saved; // at revision 0, as a broker without a list begins
-    if (!config.known.isNull()) saved = net::discovery::read(config.known, nodes_, zones_);
+    if (!config.known.isNull())
+        saved = net::discovery::read(config.known, nodes_, zones_);
     saved.update.kind = ListUpdate::Kind::Saved;
     revision_ = saved.revision;
     fleet_.told(saved);
@@ -42,10 +45,12 @@
         io, deadlines, settings_, net::endpoint<asio::ip::tcp::endpoint>(at).value(), at, saved.revision,
         net::discovery::list_feed(nodes_, zones_),
         [this, &deadlines](const net::discovery::Reading &reading) { told(reading, deadlines.clock.now()); });
-    if (!distributed) return;
+    if (!distributed)
+        return;
     const distribution::DistributorSelector selector(config.distributors, name_, locality, settings_.seed);
     discovery_->use(selector);
-    if (!config.documents) return;
+    if (!config.documents)
+        return;
     documents_.emplace(
         io, deadlines, selector, name_, settings_.seed,
         [this, &deadlines](const config::Operations &operations, distribution::Revision version) {
@@ -56,7 +61,8 @@
 
 net::discovery::Traffic HollowBroker::traffic() const {
     net::discovery::Traffic sum = discovery_->traffic();
-    if (!documents_) return sum;
+    if (!documents_)
+        return sum;
     const net::discovery::Traffic &more = documents_->traffic();
     sum.calls += more.calls;
     sum.failed += more.failed;
@@ -77,15 +83,18 @@
 void HollowBroker::listen_to_peers(asio::io_context &io, const HollowConfig &config, int position) {
     std::vector<asio::ip::udp::endpoint> all;
     all.reserve(static_cast<std::size_t>(config.hosts));
-    for (int n = 0; n < config.hosts; ++n) all.push_back(peer_address(n, config.peer_port));
+    for (int n = 0; n < config.hosts; ++n)
+        all.push_back(peer_address(n, config.peer_port));
     peers_.emplace(asio::ip::udp::socket(io, peer_address(position, config.peer_port)), std::move(all),
                    std::nullopt,
-                   [this](const PeerMessage &message) { planners_.front()->peer_message(message); });
+                   [this](const PeerMessage &message) { dispatchers_.front()->peer_message(message); });
 }
 
 void HollowBroker::told(const net::discovery::Reading &reading, Micros now) {
-    if (reading.revision < revision_) ++went_back_;
-    if (reading.revision > revision_) adopted_.push_back({reading.revision, now});
+    if (reading.revision < revision_)
+        ++went_back_;
+    if (reading.revision > revision_)
+        adopted_.push_back({reading.revision, now});
     revision_ = reading.revision;
     fleet_.told(reading);
 }
--- a/src/lab/scale/hollow_broker.hpp
+++ b/src/lab/scale/hollow_broker.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "config/distribution.hpp"
-#include "net/fleet.hpp"
+#include "net/endpoint_registry.hpp"
 #include "net/lists/document_watch.hpp"
 #include "net/peers/peers.hpp"
 
@@ -61,8 +61,8 @@
     net::resp::NodePort resp_port_;
     net::nvme::NodePort nvme_port_;
     net::Ports ports_;
-    net::Fleet::Planners planners_;
-    net::Fleet fleet_;
+    net::EndpointRegistry::Dispatchers dispatchers_;
+    net::EndpointRegistry fleet_;
     std::optional<net::peers::Peers> peers_;
     std::optional<net::discovery::Discovery> discovery_;
     std::int64_t revision_ = 0;
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -43,7 +43,8 @@
         sample();
         asio::signal_set signals(io_, SIGTERM, SIGINT);
         signals.async_wait([this](const boost::system::error_code &error, int) {
-            if (!error) io_.stop();
+            if (!error)
+                io_.stop();
         });
         io_.run();
         write();
@@ -61,7 +62,8 @@
 
     void sample() {
         const Micros now = clock_.now();
-        if (first_sample_ == 0) first_sample_ = now - now % kSample;
+        if (first_sample_ == 0)
+            first_sample_ = now - now % kSample;
         std::size_t number = 0;
         for (const HollowBroker &broker : brokers_) {
             const net::discovery::Traffic traffic = broker.traffic();
--- a/src/lab/scale/list_source.cpp
+++ b/src/lab/scale/list_source.cpp
@@ -51,7 +51,8 @@
 void ListSource::publish(const std::vector<std::size_t> &changed, const std::string &event, bool complete) {
     const distribution::Revision revision = published_.empty() ? kFirst : published_.back().revision + 1;
     distribution::Update update{revision, complete, {}};
-    for (const std::size_t number : changed) update.members.push_back(member(nodes_[number]));
+    for (const std::size_t number : changed)
+        update.members.push_back(member(nodes_[number]));
     published_.push_back({revision, deadlines_.clock.now(), event, changed.size()});
     server_.take(net::lists::Channel::Nodes, update);
 }
@@ -60,7 +61,8 @@
     using distribution::Phase;
     const std::size_t number = random_() % nodes_.size();
     Node &node = nodes_[number];
-    if (node.phase == Phase::Removed) return;
+    if (node.phase == Phase::Removed)
+        return;
     if (node.phase == Phase::Up && random_() % 2 == 0) {
         node.phase = Phase::Draining;
     } else {
@@ -73,8 +75,10 @@
 void ListSource::remove(int count, const std::string &event) {
     for (std::size_t number = 0; number < nodes_.size() && static_cast<int>(removed_.size()) < count;
          ++number)
-        if (nodes_[number].phase == distribution::Phase::Up) removed_.push_back(number);
-    for (const std::size_t number : removed_) nodes_[number].phase = distribution::Phase::Removed;
+        if (nodes_[number].phase == distribution::Phase::Up)
+            removed_.push_back(number);
+    for (const std::size_t number : removed_)
+        nodes_[number].phase = distribution::Phase::Removed;
     publish(removed_, event);
 }
 
--- a/src/lab/scale/observations.cpp
+++ b/src/lab/scale/observations.cpp
@@ -12,7 +12,8 @@
     const auto at = std::lower_bound(
         adoptions.begin(), adoptions.end(), revision,
         [](const Adoption &adoption, distribution::Revision wanted) { return adoption.revision < wanted; });
-    if (at == adoptions.end()) return std::nullopt;
+    if (at == adoptions.end())
+        return std::nullopt;
     return at->at;
 }
 
@@ -31,7 +32,8 @@
 Micros due_from(const Published &change, const BrokerRecord &broker, const std::vector<Outage> &outages) {
     Micros due = std::max(change.at, broker.started);
     for (const Outage &outage : outages)
-        if (outage.region == broker.region && due >= outage.from && due < outage.until) due = outage.until;
+        if (outage.region == broker.region && due >= outage.from && due < outage.until)
+            due = outage.until;
     return due;
 }
 
@@ -41,7 +43,8 @@
     Latencies found;
     std::vector<double> all;
     for (const Published &change : changes) {
-        if (!counts(change)) continue;
+        if (!counts(change))
+            continue;
         for (const BrokerRecord &broker : brokers) {
             const auto at = held_from(broker.*held, change.revision);
             if (!at) {
@@ -50,13 +53,15 @@
             }
             const Micros late = std::max<Micros>(*at - due_from(change, broker, outages), 0);
             all.push_back(static_cast<double>(late) / 1e6);
-            if (all.back() < found.worst_s) continue;
+            if (all.back() < found.worst_s)
+                continue;
             found.worst_s = all.back();
             found.worst_broker = broker.name;
         }
     }
     found.counted = static_cast<int>(all.size());
-    if (all.empty()) return found;
+    if (all.empty())
+        return found;
     const auto middle = all.begin() + static_cast<std::ptrdiff_t>(all.size() / 2);
     std::nth_element(all.begin(), middle, all.end());
     found.median_s = *middle;
@@ -68,14 +73,16 @@
     double bytes = 0, seconds = 0;
     for (const BrokerRecord &broker : brokers) {
         const auto [first, last] = samples(broker, from, until);
-        if (last <= first + 1) continue;
+        if (last <= first + 1)
+            continue;
         bytes += broker.traffic[last - 1] - broker.traffic[first];
         seconds += static_cast<double>(last - 1 - first);
         for (std::size_t n = first; n + kWindow < last; ++n)
             found.worst_window =
                 std::max(found.worst_window, (broker.traffic[n + kWindow] - broker.traffic[n]) / kWindow);
     }
-    if (seconds > 0) found.mean = bytes / seconds;
+    if (seconds > 0)
+        found.mean = bytes / seconds;
     return found;
 }
 
--- a/src/lab/scale/plan.cpp
+++ b/src/lab/scale/plan.cpp
@@ -206,13 +206,15 @@
     Sweep sweep;
     sweep.name = config::need_text(row, "name");
     sweep.of = config::word(kSweeps, config::need_text(row, "of"), "of");
-    for (const Json::Value &value : row["values"]) sweep.values.push_back(value.asDouble());
+    for (const Json::Value &value : row["values"])
+        sweep.values.push_back(value.asDouble());
     sweep.size = read_size(row);
     sweep.seconds = config::number_or(row, "seconds", sweep.seconds);
     sweep.changes_per_second = config::number_or(row, "changes_per_second", 0);
     sweep.real = config::flag_or(row, "real", false);
     sweep.without_list = config::flag_or(row, "without_list", false);
-    for (const Json::Value &figure : row["figures"]) sweep.figures.push_back(figure.asString());
+    for (const Json::Value &figure : row["figures"])
+        sweep.figures.push_back(figure.asString());
     return sweep;
 }
 
@@ -227,8 +229,10 @@
     plan.repeats = count(root, "repeats", plan.repeats);
     plan.settings = root["settings"];
     config::read_settings(plan.settings, 0);
-    if (root.isMember("fleet")) plan.fleet = read_fleet(root);
-    for (const Json::Value &row : root["sweeps"]) plan.sweeps.push_back(read_sweep(row));
+    if (root.isMember("fleet"))
+        plan.fleet = read_fleet(root);
+    for (const Json::Value &row : root["sweeps"])
+        plan.sweeps.push_back(read_sweep(row));
     for (const Json::Value &row : root["predictions"])
         plan.predictions.push_back({config::need_text(row, "sweep"), config::need_text(row, "figure"),
                                     config::need_number(row, "at"), config::number_or(row, "times", 1),
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -23,7 +23,8 @@
     for (const auto &file : std::filesystem::directory_iterator(folder_ / "state"))
         std::filesystem::remove(file);
     for (const auto &file : std::filesystem::directory_iterator(folder_)) // logs are of one run
-        if (file.path().extension() == ".log") std::filesystem::remove(file);
+        if (file.path().extension() == ".log")
+            std::filesystem::remove(file);
     lay_out();
     draw();
     write_settings();
@@ -43,10 +44,12 @@
     const Micros grace = settings_.drain_grace + kOnItsWay;
     std::vector<std::pair<EmulatedNode *, int>> drains;
     for (const auto &node : nodes_)
-        if (node->draining()) drains.emplace_back(node.get(), node->drains());
+        if (node->draining())
+            drains.emplace_back(node.get(), node->drains());
     lists_->change([this](std::size_t broker) { return listed(broker); },
                    [grace, drains = std::move(drains)] {
-                       for (const auto &[node, drain] : drains) node->told_of_drain(drain, grace);
+                       for (const auto &[node, drain] : drains)
+                           node->told_of_drain(drain, grace);
                    });
 }
 
@@ -58,9 +61,11 @@
         fmt::format("{} /admin/{} HTTP/1.1\r\nHost: keeper\r\nContent-Length: {}\r\n\r\n{}", method, path,
                     body.size(), body);
     const auto error = co_await net::dial(socket, loopback(keeper_control_), until, deadlines_);
-    if (error) co_return std::nullopt;
+    if (error)
+        co_return std::nullopt;
     const auto response = co_await net::http::exchange(socket, text, until, deadlines_);
-    if (!response) co_return std::nullopt;
+    if (!response)
+        co_return std::nullopt;
     co_return std::pair(response->status, response->body);
 }
 
@@ -69,7 +74,8 @@
     for (int n = 0; n < 300; ++n) {
         co_await rest(50'000);
         const auto list = co_await keeper("GET", "cells", "");
-        if (!list || list->second.find("not settled") != std::string::npos) continue;
+        if (!list || list->second.find("not settled") != std::string::npos)
+            continue;
         bool all = true;
         for (Broker &broker : brokers_) {
             const Got got = co_await ask(broker, "*1\r\n$4\r\nPING\r\n", clock_.now() + 500'000);
@@ -77,8 +83,10 @@
         }
         const std::string wanted = fmt::format(" ready nodes {0}/{0}", experiment_.nodes);
         std::size_t cells = 0;
-        for (std::size_t at = 0; (at = list->second.find(wanted, at)) != std::string::npos; ++at) ++cells;
-        if (all && cells == map_.cells.size()) co_return true;
+        for (std::size_t at = 0; (at = list->second.find(wanted, at)) != std::string::npos; ++at)
+            ++cells;
+        if (all && cells == map_.cells.size())
+            co_return true;
     }
     co_return false;
 }
@@ -86,7 +94,8 @@
 // One command on a connection of its own, kept for the next.
 asio::awaitable<void> World::count_moves() {
     const auto stats = co_await keeper("GET", "stats", "");
-    if (!stats) co_return;
+    if (!stats)
+        co_return;
     const auto figure = [&](const char *name) {
         const std::size_t at = stats->second.find(name);
         return at == std::string::npos ? 0.0 : std::atof(stats->second.c_str() + at + std::strlen(name));
@@ -105,32 +114,43 @@
         luck = luck * 6364136223846793005u + 1442695040888963407u;
         const auto reply = co_await keeper("POST", "cells/move", volume.spelt + " " + to);
         begun = reply && reply->first == 200 && reply->second.find("begun") != std::string::npos;
-        if (!reply || reply->second.starts_with("not yet")) co_await rest(100'000);
-        if (!begun) ++moves_refused_;
+        if (!reply || reply->second.starts_with("not yet"))
+            co_await rest(100'000);
+        if (!begun)
+            ++moves_refused_;
     }
-    if (!begun) ++moves_lost_;
+    if (!begun)
+        ++moves_lost_;
     --busy_;
 }
 
 asio::awaitable<void> World::play() {
     lists_->start([this](std::size_t broker) { return listed(broker); });
-    if (datagrams_) datagrams_->start();
-    for (auto &way : streams_) way->start();
-    for (auto &node : nodes_) node->start();
+    if (datagrams_)
+        datagrams_->start();
+    for (auto &way : streams_)
+        way->start();
+    for (auto &node : nodes_)
+        node->start();
     keeper_.start();
-    for (Broker &broker : brokers_) broker.process.start();
+    for (Broker &broker : brokers_)
+        broker.process.start();
     std::vector<int> cell_of, plan_of;
-    for (const Volume &v : volumes_) cell_of.push_back(v.cell), plan_of.push_back(v.plan);
+    for (const Volume &v : volumes_)
+        cell_of.push_back(v.cell), plan_of.push_back(v.plan);
     oracle_.emplace(experiment_, settings_, cell_of, plan_of, clock_.now());
     if (!co_await ready())
         throw std::runtime_error("brokers and keeper are not ready: see the logs in " + folder_.string());
     start_ = clock_.now() + 50'000;
     oracle_.emplace(experiment_, settings_, cell_of, plan_of, start_);
-    if (datagrams_) datagrams_->begin(start_);
+    if (datagrams_)
+        datagrams_->begin(start_);
     if (parts_.surges)
-        for (const Surge &surge : experiment_.surges) oracle_->surge_over(micros(surge.at + surge.length));
+        for (const Surge &surge : experiment_.surges)
+            oracle_->surge_over(micros(surge.at + surge.length));
     if (parts_.faults)
-        for (const Fault &f : experiment_.faults) ++busy_, asio::co_spawn(io_, fault(f), rethrow);
+        for (const Fault &f : experiment_.faults)
+            ++busy_, asio::co_spawn(io_, fault(f), rethrow);
     if (parts_.moves) {
         std::mt19937_64 random = stream(seed_, 5);
         for (int n = 0; n < experiment_.moves; ++n) {
@@ -142,45 +162,54 @@
     Micros late = 0;
     for (const Drawn &drawn : drawn_) {
         const Micros wait = start_ + drawn.at - clock_.now();
-        if (wait > 0) co_await rest(wait);
+        if (wait > 0)
+            co_await rest(wait);
         late = std::max(late, clock_.now() - start_ - drawn.at);
         ++open_;
         asio::co_spawn(io_, request(drawn), rethrow);
     }
-    while (open_ > 0 || busy_ > 0) co_await rest(20'000);
+    while (open_ > 0 || busy_ > 0)
+        co_await rest(20'000);
     metrics_ = oracle_->metrics();
     metrics_["lab.late_ms"] = static_cast<double>(late) / 1000;
     metrics_["moves.refused"] = moves_refused_;
     metrics_["moves.not_begun"] = moves_lost_;
     double cold = 0;
-    for (const auto &node : nodes_) cold = std::max(cold, node->cold_worst());
+    for (const auto &node : nodes_)
+        cold = std::max(cold, node->cold_worst());
     metrics_["cold.worst"] = cold;
     // Of what a cold node bears from all brokers together, as the settings say, the part that came there.
     double came = 0, bears = 0;
     const Micros until = start_ + micros(experiment_.seconds);
     for (const auto &node : nodes_) {
         const Micros from = node->cold_time();
-        if (from == 0 || from >= until || settings_.fall_window <= 0 || settings_.warm_after <= 0) continue;
-        const double length = static_cast<double>(std::min(settings_.warm_after, until - from));
-        const double grown =
-            (1 / settings_.cold_from - 1) * length / static_cast<double>(settings_.warm_after);
-        came += node->cold_units();
-        bears += settings_.cold_units * (1 + grown / 2) * length / static_cast<double>(settings_.fall_window);
+        if (from == 0 || from >= until || settings_.slow_start_window <= 0 ||
+            settings_.slow_start_duration <= 0)
+            continue;
+        const double length = static_cast<double>(std::min(settings_.slow_start_duration, until - from));
+        const double grown = (1 / settings_.slow_start_initial_fraction - 1) * length /
+                             static_cast<double>(settings_.slow_start_duration);
+        came += node->slow_start_units();
+        bears += settings_.slow_start_units * (1 + grown / 2) * length /
+                 static_cast<double>(settings_.slow_start_window);
     }
-    if (bears > 0) metrics_["cold.used"] = came / bears;
+    if (bears > 0)
+        metrics_["cold.used"] = came / bears;
     if (datagrams_) {
         metrics_["datagrams.sent"] = static_cast<double>(datagrams_->sent());
         metrics_["datagrams.bytes"] = static_cast<double>(datagrams_->bytes());
         metrics_["datagrams.lost"] = static_cast<double>(datagrams_->lost());
     }
     double late_sends = 0;
-    for (const auto &node : nodes_) late_sends += node->sent_after_drain();
+    for (const auto &node : nodes_)
+        late_sends += node->sent_after_drain();
     metrics_["drain.late"] = late_sends;
     // What the keeper says, once it has no move under way; a move whose broker was killed may take a while.
     for (int n = 0; n < 200; ++n) {
         co_await rest(100'000);
         const auto stats = co_await keeper("GET", "stats", "");
-        if (!stats) continue;
+        if (!stats)
+            continue;
         std::map<std::string, double> told;
         std::istringstream lines(stats->second);
         for (std::string line; std::getline(lines, line);) {
@@ -191,7 +220,8 @@
         metrics_["moves.left"] = told["moving"];
         metrics_["moves.completed"] = told["moves_completed"] + completed_before_;
         metrics_["moves.undone"] = told["moves_undone"] + undone_before_;
-        if (told["moving"] == 0) break;
+        if (told["moving"] == 0)
+            break;
     }
     io_.stop();
 }
@@ -204,7 +234,8 @@
 }
 
 void World::end() {
-    for (Broker &broker : brokers_) broker.process.signal(SIGCONT), broker.process.kill();
+    for (Broker &broker : brokers_)
+        broker.process.signal(SIGCONT), broker.process.kill();
     keeper_.signal(SIGCONT), keeper_.kill();
 }
 
--- a/src/lab/world_clients.cpp
+++ b/src/lab/world_clients.cpp
@@ -27,15 +27,18 @@
         }
         char byte;
         const auto got = ::recv(kept->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (got > 0) oracle_->surplus(); // an answer that nobody asked for
-        if (got < 0) socket = std::move(kept), reused = true;
+        if (got > 0)
+            oracle_->surplus(); // an answer that nobody asked for
+        if (got < 0)
+            socket = std::move(kept), reused = true;
     }
     boost::system::error_code error;
     if (!socket) {
         socket = std::make_unique<tcp::socket>(io_);
         error =
             co_await net::dial(*socket, loopback(broker.port), std::min(until, begun + 500'000), deadlines_);
-        if (error) co_return Got{Got::Kind::Refused, {}};
+        if (error)
+            co_return Got{Got::Kind::Refused, {}};
     }
     const auto limit = deadlines_.at(until, [raw = socket.get()] {
         boost::system::error_code ignored;
@@ -57,10 +60,12 @@
         in.erase(0, in.size() - bytes.size());
     }
     if (!value) {
-        if (clock_.now() >= until) co_return Got{Got::Kind::Silent, {}};
+        if (clock_.now() >= until)
+            co_return Got{Got::Kind::Silent, {}};
         co_return Got{reused ? Got::Kind::Crossed : Got::Kind::Broken, {}};
     }
-    if (!in.empty()) oracle_->surplus();
+    if (!in.empty())
+        oracle_->surplus();
     broker.idle.emplace_back(clock_.now(), std::move(socket));
     if (value->kind == net::resp::Value::Kind::Error)
         co_return Got{value->text.starts_with("BUSY") ? Got::Kind::Busy : Got::Kind::Error, value->text};
@@ -79,7 +84,8 @@
     oracle_->asked(asking);
     for (int tries = 0; tries < kMostTries && !served; ++tries) {
         const Micros now = clock_.now(), left = leaves - now;
-        if (left < 5'000) break;
+        if (left < 5'000)
+            break;
         Broker &broker = brokers_[static_cast<std::size_t>(broker_for(volume, luck))];
         luck = luck * 6364136223846793005u + 1442695040888963407u;
         const std::string id = fmt::format("{:016x}", ++last_id_ * 0x9e3779b97f4a7c15);
@@ -87,7 +93,8 @@
         std::string list =
             fmt::format("c={},t={},d={}", cls.name,
                         settings_.plans[static_cast<std::size_t>(volume.plan)].name, left / 1000);
-        if (drawn.write) list += ",k=" + drawn.key;
+        if (drawn.write)
+            list += ",k=" + drawn.key;
         const auto shard =
             experiment_.shards ? drawn.luck % static_cast<std::uint64_t>(experiment_.nodes) : 0;
         list += fmt::format(",volume={},units={},shard={},hosts={}", volume.spelt, drawn.units, shard,
@@ -103,7 +110,8 @@
         case Got::Kind::Value:
             oracle_->answered();
             served = true;
-            if (!drawn.write && got.text != "v:" + drawn.piece) oracle_->wrong();
+            if (!drawn.write && got.text != "v:" + drawn.piece)
+                oracle_->wrong();
             break;
         case Got::Kind::Busy:
             oracle_->answered();
@@ -125,7 +133,8 @@
                 oracle_->unanswered();
         }
         if (!served) {
-            if (clock_.now() + wait >= leaves) break;
+            if (clock_.now() + wait >= leaves)
+                break;
             co_await rest(wait);
         }
     }
--- a/src/lab/world_faults.cpp
+++ b/src/lab/world_faults.cpp
@@ -40,7 +40,8 @@
         broker().process.start();
         broker().killed = clock_.now();
     } else if (f.what == "drain-cell") {
-        for (int n = 0; n < experiment_.nodes; ++n) node(n).drain(true);
+        for (int n = 0; n < experiment_.nodes; ++n)
+            node(n).drain(true);
         changed();
         co_await rest(micros(f.length));
         for (int n = 0; n < experiment_.nodes; ++n) { // back, and cold
@@ -50,7 +51,8 @@
         changed();
         for (int n = 0; n < 20; ++n) {
             const auto reply = co_await keeper("POST", "cells/restore", fmt::format("c{}", f.cell));
-            if (reply && reply->first == 200) break;
+            if (reply && reply->first == 200)
+                break;
             co_await rest(200'000);
         }
     } else if (f.what == "drain-node") {
@@ -67,10 +69,12 @@
         changed();
     } else if (f.what == "move-surging") {
         for (const Drawn &d : drawn_) {
-            if (!d.surge) continue;
+            if (!d.surge)
+                continue;
             const std::string &volume = volumes_[static_cast<std::size_t>(d.volume)].spelt;
             const auto reply = co_await keeper("POST", "cells/move", fmt::format("{} c{}", volume, f.cell));
-            if (!reply || reply->first != 200) ++moves_lost_;
+            if (!reply || reply->first != 200)
+                ++moves_lost_;
             break;
         }
     } else if (f.what == "pause-node") {
@@ -81,7 +85,8 @@
         node(f.index).slow(1);
     } else if (f.what == "restart-nodes") {
         for (int n = 0; n < experiment_.nodes; ++n)
-            if (f.to.empty() || f.to.contains(n)) node(n).restart(micros(f.length));
+            if (f.to.empty() || f.to.contains(n))
+                node(n).restart(micros(f.length));
         changed();
     } else if (f.what == "break-streams") {
         for (std::size_t n = 0; n < streams_.size(); ++n)
