--- a/src/lab/world_setup.cpp
+++ b/src/lab/world_setup.cpp
@@ -16,7 +16,7 @@
     keys_.resize(static_cast<std::size_t>(e.cells));
     keeper_link_ = free_port(), keeper_control_ = free_port();
     lists_.emplace(io_, deadlines_,
-                   Lists::Model{!settings_.ask_for_list, micros(e.list_least), micros(e.list_most)},
+                   Lists::Model{!settings_.poll_endpoint_list, micros(e.list_least), micros(e.list_most)},
                    static_cast<std::size_t>(e.cells * e.brokers), stream(seed_, 6)());
     for (int c = 0; c < e.cells; ++c) {
         cells::Cell cell{fmt::format("c{}", c), e.node.capacity() * e.nodes, {}, {}, false, false};
@@ -32,7 +32,7 @@
         for (int n = 0; n < e.nodes; ++n) {
             const std::string name = fmt::format("s-{}-{}", c, n);
             cell.nodes.insert(name);
-            EmulatedNode::Surroundings around{
+            EmulatedNode::DispatcherCallbacks around{
                 [this](const std::string &id, std::uint64_t volume, double units) {
                     if (const auto first = tries_.find(id); first != tries_.end())
                         oracle_->attempt(first->second);
@@ -41,9 +41,9 @@
                         oracle_->at_node(clock_.now(), at->second, units);
                 },
                 [this, c](const std::string &key) { oracle_->ran(key, c); },
-                keys_[static_cast<std::size_t>(c)], settings_.classes[1].repeat_window};
+                keys_[static_cast<std::size_t>(c)], settings_.classes[1].deduplication_window};
             nodes_.push_back(std::make_unique<EmulatedNode>(
-                io_, deadlines_, name, e.node, settings_.fall_window,
+                io_, deadlines_, name, e.node, settings_.slow_start_window,
                 stream(seed_, 3, static_cast<std::uint32_t>(nodes_.size()))(), std::move(around)));
         }
         map_.cells.push_back(std::move(cell));
@@ -57,7 +57,8 @@
     }
     if (e.peers) {
         std::vector<int> listens, groups;
-        for (const Broker &broker : brokers_) listens.push_back(broker.peer), groups.push_back(broker.cell);
+        for (const Broker &broker : brokers_)
+            listens.push_back(broker.peer), groups.push_back(broker.cell);
         datagrams_.emplace(io_, deadlines_, network_faults_, std::move(listens), std::move(groups));
     }
     if (e.relay)
@@ -92,7 +93,8 @@
                                       0xffffffffffff,
                                   piece(random));
             d.luck = random();
-            if (d.write) d.key = fmt::format("{:016x}", random());
+            if (d.write)
+                d.key = fmt::format("{:016x}", random());
             drawn_.push_back(std::move(d));
         }
     };
@@ -103,12 +105,14 @@
             v.id = VolumeId{ids()};
             v.spelt = fmt::format("{:016x}", static_cast<std::uint64_t>(v.id));
             for (std::size_t p = 0; p < settings_.plans.size(); ++p)
-                if (settings_.plans[p].name == kind.plan) v.plan = static_cast<int>(p);
+                if (settings_.plans[p].name == kind.plan)
+                    v.plan = static_cast<int>(p);
             const cells::Cell &home = *map_.home(v.id);
             v.cell = static_cast<int>(&home - map_.cells.data());
             for (const cells::Broker *b : map_.brokers_of(v.id, home))
                 for (std::size_t i = 0; i < brokers_.size(); ++i)
-                    if (brokers_[i].name == b->name) v.brokers.push_back(static_cast<int>(i));
+                    if (brokers_[i].name == b->name)
+                        v.brokers.push_back(static_cast<int>(i));
             v.busiest = kind.busiest, v.shift = micros(kind.shift_s);
             volume_numbers_[static_cast<std::uint64_t>(v.id)] = static_cast<int>(volumes_.size());
             usual[static_cast<std::size_t>(v.cell)] += kind.rate;
@@ -145,7 +149,8 @@
             row["name"] = b.name, row["clients"] = b.clients, row["link"] = b.link;
             one["brokers"].append(std::move(row));
         }
-        for (const std::string &node : cell.nodes) one["nodes"].append(node);
+        for (const std::string &node : cell.nodes)
+            one["nodes"].append(node);
         cells["cells"].append(std::move(one));
     }
     Json::Value root;
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -11,15 +11,18 @@
 
 template <typename Endpoint> std::optional<Endpoint> endpoint(std::string_view text) {
     const std::size_t colon = text.rfind(':');
-    if (colon == std::string_view::npos) return std::nullopt;
+    if (colon == std::string_view::npos)
+        return std::nullopt;
     std::string_view host = text.substr(0, colon);
-    if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+    if (host.size() > 2 && host.front() == '[' && host.back() == ']')
+        host = host.substr(1, host.size() - 2);
     const std::string_view digits = text.substr(colon + 1);
     std::uint16_t port = 0;
     const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(host, error);
-    if (error || bad != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
+    if (error || bad != std::errc() || end != digits.data() + digits.size())
+        return std::nullopt;
     return Endpoint(address, port);
 }
 
--- a/src/net/cells/layout.cpp
+++ b/src/net/cells/layout.cpp
@@ -38,10 +38,12 @@
         for (const Json::Value &b : need(row, "brokers"))
             cell.brokers.push_back(
                 {need_text(b, "name"), need_address(b, "clients"), need_address(b, "link")});
-        for (const Json::Value &node : need(row, "nodes")) cell.nodes.insert(node.asString());
+        for (const Json::Value &node : need(row, "nodes"))
+            cell.nodes.insert(node.asString());
         layout.map.cells.push_back(std::move(cell));
     }
-    for (const Json::Value &node : cells["spare"]) layout.map.spare.insert(node.asString());
+    for (const Json::Value &node : cells["spare"])
+        layout.map.spare.insert(node.asString());
     try {
         check(layout.map);
     } catch (const std::invalid_argument &error) {
--- a/src/net/cells/office.cpp
+++ b/src/net/cells/office.cpp
@@ -47,7 +47,8 @@
 bool Office::relayout(const Layout &layout) {
     std::vector<mc::KeeperAction> actions;
     const auto reply = keeper_.relayout(layout.map, actions);
-    if (reply.ok) place_brokers(); // before they are told
+    if (reply.ok)
+        place_brokers(); // before they are told
     perform(actions);
     core::log("keeper: layout {}: {}", reply.ok ? "taken" : "not taken", reply.text);
     return reply.ok;
@@ -109,7 +110,8 @@
     else if (what == "restore")
         reply = keeper_.restore_cell(body, actions);
     perform(actions);
-    if (reply.text.empty() || reply.text.back() != '\n') reply.text += '\n';
+    if (reply.text.empty() || reply.text.back() != '\n')
+        reply.text += '\n';
     return {0, reply.ok, reply.text};
 }
 
--- a/src/net/cells/residence.cpp
+++ b/src/net/cells/residence.cpp
@@ -26,7 +26,8 @@
 template <typename T> std::optional<T> number_of(std::string_view text) {
     T value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+    if (error != std::errc() || end != text.data() + text.size())
+        return std::nullopt;
     return value;
 }
 
@@ -38,9 +39,9 @@
 mc::Resident::Timing timing(const Settings &settings) {
     mc::Resident::Timing t;
     for (const ClassSettings &cls : settings.classes)
-        if (cls.effect == Effect::Keyed) {
-            t.keep_keys = std::max(t.keep_keys, cls.repeat_window);
-            t.vouch_after = std::max(t.vouch_after, cls.repeat_window + cls.deadline);
+        if (cls.idempotency == Idempotency::WithKey) {
+            t.keep_keys = std::max(t.keep_keys, cls.deduplication_window);
+            t.vouch_after = std::max(t.vouch_after, cls.deduplication_window + cls.deadline);
         }
     return t;
 }
@@ -58,7 +59,8 @@
       relay_(io.get_executor(), deadlines, memory, budget, among_brokers(settings),
              resp::NodePort::Peers::Brokers) {
     file_.failed = [](const std::string &why) { core::log("cells: the state can't be written: {}", why); };
-    if (const auto bytes = file_.load()) resident_.restore(link::decode_resident(*bytes));
+    if (const auto bytes = file_.load())
+        resident_.restore(link::decode_resident(*bytes));
     link_.place("", *endpoint<tcp::endpoint>(layout_.keeper_link));
 }
 
@@ -72,7 +74,9 @@
     return mine && mine->nodes.contains(node);
 }
 
-void Residence::ready_nodes(std::size_t count) { resident_.ready_nodes(static_cast<std::uint32_t>(count)); }
+void Residence::ready_nodes(std::size_t count) {
+    resident_.ready_nodes(static_cast<std::uint32_t>(count));
+}
 
 void Residence::tick() {
     std::vector<mc::Action> actions;
@@ -83,7 +87,8 @@
 
 void Residence::heard(const link::Frame &frame) {
     if (const auto *reply = std::get_if<link::Reply>(&frame.body)) {
-        if (auto call = calls_.extract(reply->number)) call.mapped()(*reply);
+        if (auto call = calls_.extract(reply->number))
+            call.mapped()(*reply);
     } else if (const auto *message = std::get_if<mc::Message>(&frame.body)) {
         std::vector<mc::Action> actions;
         resident_.handle(deadlines_.clock.now(), frame.from, *message, actions);
@@ -104,7 +109,8 @@
             if (held)
                 for (const Id id : held.mapped()) {
                     const auto at = entries_.find(id);
-                    if (at == entries_.end() || !at->second.waits) continue;
+                    if (at == entries_.end() || !at->second.waits)
+                        continue;
                     at->second.waits = false;
                     at->second.patience.reset();
                     --waiting_;
@@ -115,19 +121,24 @@
 }
 
 void Residence::take_map() {
-    if (!resident_.map()) return;
+    if (!resident_.map())
+        return;
     const mc::Map &map = *resident_.map();
     core::log("cells: map {}, {}", map.epoch.number,
               resident_.cell() ? "in cell " + resident_.cell()->name : std::string("in no cell"));
     for (const mc::Cell &cell : map.cells)
         for (const mc::Broker &broker : cell.brokers) {
-            if (broker.name == resident_.name()) continue;
+            if (broker.name == resident_.name())
+                continue;
             const auto link = endpoint<tcp::endpoint>(broker.link),
                        clients = endpoint<tcp::endpoint>(broker.clients);
-            if (link) link_.place(broker.name, *link);
-            if (clients) relay_.place(number(broker.name), *clients);
+            if (link)
+                link_.place(broker.name, *link);
+            if (clients)
+                relay_.place(number(broker.name), *clients);
         }
-    if (confined) confined();
+    if (confined)
+        confined();
 }
 
 NodeId Residence::number(const std::string &broker) {
@@ -138,31 +149,38 @@
 mc::Left Residence::take(VolumeId volume) {
     core::Request any;
     any.facts.volume = volume;
-    core::Planner &planner = usual_(any);
+    core::RequestDispatcher &dispatcher = usual_(any);
     mc::Left left;
-    for (const Legacy::Store &s : planner.legacy(volume).stores)
+    for (const HandoverState::VolumeQuota &s : dispatcher.handover_state(volume).quotas)
         left.limit += s.units, left.reserve += s.reserve.value_or(0);
-    planner.inherit(Legacy{INT64_MAX, {{volume, 0, 0}}, {}});
+    dispatcher.restore(HandoverState{INT64_MAX, {{volume, 0, 0}}, {}});
     return left;
 }
 void Residence::give(VolumeId volume, double limit, double reserve) {
     core::Request any;
     any.facts.volume = volume;
-    usual_(any).inherit(Legacy{INT64_MAX, {{volume, limit, reserve}}, {}});
+    usual_(any).restore(HandoverState{INT64_MAX, {{volume, limit, reserve}}, {}});
 }
 
 mc::Asked Residence::asked(const core::Request &r) const {
     const RequestArrived &f = r.facts;
     const ClassSettings &cls = settings_.classes[f.cls];
     const PlanSettings &plan = settings_.plans[f.plan];
-    mc::Asked a{f.volume,        {}, f.units, plan.reserve, cls.worth * plan.price, plan.limit > 0,
-                r.sent + r.wait, 0};
-    if (cls.effect == Effect::Keyed && !r.repeat_key.empty()) {
+    mc::Asked a{f.volume,
+                {},
+                f.units,
+                plan.reserve,
+                cls.priority_weight * plan.priority_factor,
+                plan.limit > 0,
+                r.sent + r.wait,
+                0};
+    if (cls.idempotency == Idempotency::WithKey && !r.repeat_key.empty()) {
         const std::string both = r.piece + ' ' + r.repeat_key;
         a.key = XXH3_64bits(both.data(), both.size());
     }
     for (const auto &[name, value] : r.extra)
-        if (name == kHops) a.hops = std::clamp(number_of<int>(value).value_or(0), 0, mc::Resident::kMostHops);
+        if (name == kHops)
+            a.hops = std::clamp(number_of<int>(value).value_or(0), 0, mc::Resident::kMostHops);
     return a;
 }
 
@@ -196,7 +214,8 @@
         entry.held = std::make_unique<core::Memory::Share>(memory_, entry.request->body.size());
         asio::co_spawn(io_, forward(id, way.broker, to->name, entry.request, entry.asked),
                        [](const std::exception_ptr &error) {
-                           if (error) std::rethrow_exception(error);
+                           if (error)
+                               std::rethrow_exception(error);
                        });
     }
     }
@@ -209,16 +228,17 @@
     own->facts.hosts = way.hosts;
     std::erase_if(own->extra, [](const auto &pair) { return pair.first == kHops; });
     entry.request = own;
-    entry.held = nullptr; // the planner counts it
-    entry.planner = &usual_(*own);
+    entry.held = nullptr; // the dispatcher counts it
+    entry.dispatcher = &usual_(*own);
     resident_.began(deadlines_.clock.now(), entry.asked);
     const mc::Asked about = entry.asked;
     const auto served = std::make_shared<bool>(false);
-    const RequestId there = entry.planner->submit(
+    const RequestId there = entry.dispatcher->submit(
         own,
         [this, id, served](core::Outcome outcome) {
             *served = outcome.kind == core::Outcome::Kind::Served;
-            if (!outcome.stream) return finish(id, std::move(outcome));
+            if (!outcome.stream)
+                return finish(id, std::move(outcome));
             // Kept until it is over: its client may leave before that.
             if (const auto at = entries_.find(id); at != entries_.end())
                 at->second.answer(std::move(outcome));
@@ -229,7 +249,8 @@
             resident_.ended(deadlines_.clock.now(), about, *served, actions);
             perform(actions);
         });
-    if (const auto at = entries_.find(id); at != entries_.end()) at->second.there = there;
+    if (const auto at = entries_.find(id); at != entries_.end())
+        at->second.there = there;
 }
 
 void Residence::hold(Id id) {
@@ -246,7 +267,8 @@
     held_[entry.asked.volume].push_back(id);
     entry.patience = deadlines_.at(until, [this, id] {
         const auto at = entries_.find(id);
-        if (at == entries_.end() || !at->second.waits) return;
+        if (at == entries_.end() || !at->second.waits)
+            return;
         at->second.waits = false;
         --waiting_;
         refuse(id);
@@ -261,7 +283,8 @@
 
 void Residence::finish(Id id, core::Outcome outcome) {
     auto entry = entries_.extract(id);
-    if (!entry) return outcome.stream ? outcome.stream->abandon() : void();
+    if (!entry)
+        return outcome.stream ? outcome.stream->abandon() : void();
     entry.mapped().answer(std::move(outcome));
 }
 
@@ -285,24 +308,27 @@
         };
         attempt->written = [] {};
         const auto at = entries_.find(id);
-        if (at == entries_.end()) break;
+        if (at == entries_.end())
+            break;
         at->second.attempt = attempt;
         const auto expiry =
             deadlines_.at(attempt->expires - kAnswerSlack, [&out = *attempt] { out.stop(Status::Timeout); });
         result = co_await relay_.run(attempt);
-        if (result.status != Status::ConnectFailed) break;
+        if (result.status != Status::ConnectFailed)
+            break;
         // Nothing was written: another of its brokers may be reached.
         const mc::Route other = resident_.route(deadlines_.clock.now(), about);
-        if (other.kind != mc::Route::Kind::Forward) break;
+        if (other.kind != mc::Route::Kind::Forward)
+            break;
         broker = other.broker;
     }
     --out_[cell];
-    const bool safe = settings_.classes[request->facts.cls].effect == Effect::Safe;
+    const bool safe = settings_.classes[request->facts.cls].idempotency == Idempotency::Idempotent;
     switch (result.status) {
     case Status::Ok:
         finish(id, {core::Outcome::Kind::Served, std::move(result.value), 0, true});
         break;
-    case Status::Full: {
+    case Status::Rejected: {
         // It may know of a newer map.
         const Micros now = deadlines_.clock.now();
         if (auto &last = told_[broker]; now - last > kAskAgain) {
@@ -314,7 +340,7 @@
         break;
     }
     case Status::ConnectFailed:
-    case Status::Moot:
+    case Status::Superseded:
         refuse(id);
         break;
     default:
@@ -322,23 +348,31 @@
     }
 }
 
-void Residence::client_left(RequestId number) {
+void Residence::client_disconnected(RequestId number) {
     const auto at = entries_.find(static_cast<Id>(number));
-    if (at == entries_.end()) return;
+    if (at == entries_.end())
+        return;
     auto entry = entries_.extract(at);
     Entry &e = entry.mapped();
-    if (e.waits) --waiting_;
-    if (e.planner) e.planner->client_left(e.there);
-    if (e.attempt) e.attempt->stop(Status::Cancelled);
+    if (e.waits)
+        --waiting_;
+    if (e.dispatcher)
+        e.dispatcher->client_disconnected(e.there);
+    if (e.attempt)
+        e.attempt->stop(Status::Cancelled);
 }
 
 void Residence::withdraw(RequestId number) {
     const auto at = entries_.find(static_cast<Id>(number));
-    if (at == entries_.end()) return;
+    if (at == entries_.end())
+        return;
     Entry &entry = at->second;
-    if (entry.planner) return entry.planner->withdraw(entry.there);
-    if (entry.attempt) return entry.attempt->stop(Status::Cancelled);
-    if (std::exchange(entry.waits, false)) --waiting_;
+    if (entry.dispatcher)
+        return entry.dispatcher->withdraw(entry.there);
+    if (entry.attempt)
+        return entry.attempt->stop(Status::Cancelled);
+    if (std::exchange(entry.waits, false))
+        --waiting_;
     refuse(at->first);
 }
 
@@ -347,7 +381,8 @@
     const auto box = std::make_shared<core::Mailbox<std::optional<link::Reply>>>(io_.get_executor());
     calls_[number] = [box](link::Reply reply) { box->put(std::move(reply)); };
     const auto limit = deadlines_.in(kCallWithin, [this, box, number] {
-        if (calls_.erase(number)) box->put(std::nullopt);
+        if (calls_.erase(number))
+            box->put(std::nullopt);
     });
     link_.send("", link::Call{number, std::move(what), std::move(body)});
     co_return co_await box->take();
--- a/src/net/cells/residence.hpp
+++ b/src/net/cells/residence.hpp
@@ -1,10 +1,10 @@
-// A broker in a cell: stands between the fronts and the planners. It sends each request to where its volume
-// lives, holds those of a volume that is being moved, and carries the cells' messages. What is decided,
-// cells::Resident decides.
+// A broker in a cell: stands between the fronts and the dispatchers. It sends each request to where its
+// volume lives, holds those of a volume that is being moved, and carries the cells' messages. What is
+// decided, cells::Resident decides.
 #pragma once
 
 #include "cells/resident.hpp"
-#include "core/planner.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/cells/layout.hpp"
 #include "net/link/outbox.hpp"
 #include "net/resp/node_port.hpp"
@@ -15,9 +15,9 @@
     std::uint64_t forwarded = 0, waited = 0, refused = 0;
 };
 
-class Residence : public core::Taker, private marblewood::cells::Stores {
+class Residence : public core::RequestHandler, private marblewood::cells::Stores {
 public:
-    using Usual = std::function<core::Planner &(const core::Request &)>;
+    using Usual = std::function<core::RequestDispatcher &(const core::Request &)>;
 
     // `listener` is where keeper and brokers call. Throws std::runtime_error where the state on disk is
     // spoilt.
@@ -33,7 +33,7 @@
 
     RequestId submit(std::shared_ptr<const core::Request> request, Answer answer,
                      std::function<void()> over = nullptr) override;
-    void client_left(RequestId id) override;
+    void client_disconnected(RequestId id) override;
     void withdraw(RequestId id) override;
 
     // An operator's call, answered by the keeper; empty: it does not answer.
@@ -47,7 +47,7 @@
         std::shared_ptr<const core::Request> request;
         Answer answer;
         marblewood::cells::Asked asked;
-        core::Planner *planner = nullptr; // Serve
+        core::RequestDispatcher *dispatcher = nullptr; // Serve
         RequestId there{};
         std::shared_ptr<core::Attempt> attempt; // Forward
         bool waits = false;
--- a/src/net/client_figures.hpp
+++ b/src/net/client_figures.hpp
@@ -10,21 +10,21 @@
 
 /// What ended a client's connection, or had the broker begin to end it. The first cause counts.
 enum class CloseReason : std::size_t {
-    ClientLeft,    ///< the client closed, reset, or was found gone
-    SilentClient,  ///< a new client asked for nothing in time
-    Idle,          ///< a client that has asked before was silent for too long
-    TooManyIdle,   ///< it was unused the longest when too many clients stayed
-    Evicted,       ///< closed to make room for a new connection
-    Incomplete,    ///< a message that had begun did not come whole in time, or found no room in memory
-    ProtocolError, ///< what came could not be read
-    Quit,          ///< the client asked for the end
-    NotReading,    ///< the client did not read its answers
-    BrokenValue,   ///< a long value broke off at its node
-    KeepAlive,     ///< an NVMe host sent no keep-alive
-    HandedOver,    ///< it goes on in the successor process
-    Quiesce,       ///< operators send clients away
-    Shutdown,      ///< the process ends
-    Failure,       ///< an exception in serving it
+    ClientDisconnected, ///< the client closed, reset, or was found gone
+    SilentClient,       ///< a new client asked for nothing in time
+    Idle,               ///< a client that has asked before was silent for too long
+    TooManyIdle,        ///< it was unused the longest when too many clients stayed
+    Evicted,            ///< closed to make room for a new connection
+    Incomplete,         ///< a message that had begun did not come whole in time, or found no room in memory
+    ProtocolError,      ///< what came could not be read
+    Quit,               ///< the client asked for the end
+    NotReading,         ///< the client did not read its answers
+    BrokenValue,        ///< a long value broke off at its node
+    KeepAlive,          ///< an NVMe host sent no keep-alive
+    HandedOver,         ///< it goes on in the successor process
+    Quiesce,            ///< operators send clients away
+    Shutdown,           ///< the process ends
+    Failure,            ///< an exception in serving it
 };
 inline constexpr std::array<std::string_view, 15> kCloseReasonNames{
     "client_left", "silent",      "idle",    "too_many_idle", "evicted",
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -43,11 +43,13 @@
 
 void Client::end_by(CloseReason why, Micros now, Micros time, bool lone_requests) {
     note(why);
-    if (!use().closing) closing.since = now, closing.end_by = time;
+    if (!use().closing)
+        closing.since = now, closing.end_by = time;
     closing.end_by = std::min(closing.end_by, time);
     closing.lone_requests = closing.lone_requests || lone_requests;
     mark_closing();
-    if (notify) notify();
+    if (notify)
+        notify();
 }
 
 tcp::acceptor listen_at(asio::io_context &io, const tcp::endpoint &at) {
@@ -57,10 +59,14 @@
         tcp::acceptor acceptor(io);
         boost::system::error_code error;
         acceptor.open(at.protocol(), error);
-        if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
-        if (!error) acceptor.bind(at, error);
-        if (!error) acceptor.listen(1024, error);
-        if (!error) return for_accept_next(std::move(acceptor));
+        if (!error)
+            acceptor.set_option(tcp::acceptor::reuse_address(true), error);
+        if (!error)
+            acceptor.bind(at, error);
+        if (!error)
+            acceptor.listen(1024, error);
+        if (!error)
+            return for_accept_next(std::move(acceptor));
         if (!passes(error) || std::chrono::steady_clock::now() >= until)
             throw boost::system::system_error(error, fmt::format("port {}", at.port()));
         const bool held = error == asio::error::address_in_use;
@@ -107,10 +113,13 @@
         tcp::socket socket(io_);
         error = co_await accept_next(acceptor_, socket);
         if (error) {
-            if (!acceptor_.is_open()) break;
-            if (error == asio::error::operation_aborted) continue; // paused, or resumed again by now
-            core::log("accept: {}", error.message());              // out of descriptors, say: it passes
-            if (error.value() == EMFILE || error.value() == ENFILE) evict_one();
+            if (!acceptor_.is_open())
+                break;
+            if (error == asio::error::operation_aborted)
+                continue;                             // paused, or resumed again by now
+            core::log("accept: {}", error.message()); // out of descriptors, say: it passes
+            if (error.value() == EMFILE || error.value() == ENFILE)
+                evict_one();
             rest.expires_after(std::chrono::microseconds(kRetryAccept));
             co_await rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
@@ -125,12 +134,15 @@
     const std::uint64_t number = ++figures_.accepted;
     const auto client = clients_.emplace(clients_.end(), std::move(socket), order_, now, number);
     client->lease = budget_.client();
-    if (early.asked) client->mark_asked();
+    if (early.asked)
+        client->mark_asked();
     client->early = std::move(early);
     client->pass = pass_;
     client->staying = done_ != nullptr;
-    if (sending_away()) client->send_away(now);
-    if (letting_go_) client->shut_down(now, withdraw_at_);
+    if (sending_away())
+        client->send_away(now);
+    if (letting_go_)
+        client->shut_down(now, withdraw_at_);
     asio::co_spawn(io_, serve(client), asio::detached);
     limit_idle_askers();
 }
@@ -142,25 +154,29 @@
 }
 void Clients::resume() {
     paused_ = false;
-    if (resumed_.empty()) resumed_.put(true);
+    if (resumed_.empty())
+        resumed_.put(true);
 }
 
 void Clients::hand_over(std::function<void(Passed)> pass) {
     pass_ = std::move(pass);
     for (Client &client : clients_) {
         client.pass = pass_;
-        if (pass_ && client.notify) client.notify();
+        if (pass_ && client.notify)
+            client.notify();
     }
 }
 
 void Clients::adopt(Passed passed) {
     budget_.came_over();
-    if (budget_.clients_full()) evict_one();
+    if (budget_.clients_full())
+        evict_one();
     tcp::socket socket(io_);
     boost::system::error_code error;
     const int fd = passed.descriptor.get();
     socket.assign(protocol_of(fd), fd, error);
-    if (error) return core::log("a client's connection can't be taken over: {}", error.message());
+    if (error)
+        return core::log("a client's connection can't be taken over: {}", error.message());
     passed.descriptor.release();
     admit(std::move(socket), std::move(passed));
 }
@@ -168,7 +184,8 @@
 bool Clients::evict_one() {
     EvictionOrder::Entry *const entry = order_.next(
         deadlines_.clock.now(), [](EvictionOrder::Entry &e) { return static_cast<Client &>(e).unread(); });
-    if (!entry) return false;
+    if (!entry)
+        return false;
     Client &client = static_cast<Client &>(*entry);
     client.close(CloseReason::Evicted);
     client.begin_closing(CloseReason::Evicted, deadlines_.clock.now());
@@ -178,10 +195,12 @@
 // Some clients ask once and stay, each on a connection of its own. What they hold of the connections that
 // clients may have is missing to those who want to ask.
 void Clients::limit_idle_askers() {
-    if (order_.askers() < static_cast<std::size_t>(budget_.most_kept())) return;
+    if (order_.askers() < static_cast<std::size_t>(budget_.most_kept()))
+        return;
     // At a handover a connection closed as its next request comes would turn that back; at a drain its client
     // could not come again.
-    if (budget_.shared() || done_) return;
+    if (budget_.shared() || done_)
+        return;
     if (EvictionOrder::Entry *const entry = order_.longest_idle_asker())
         static_cast<Client &>(*entry).begin_closing(CloseReason::TooManyIdle, deadlines_.clock.now());
 }
@@ -193,13 +212,15 @@
         core::log("client {}: {}", client->id, error.what());
         client->note(CloseReason::Failure);
     }
-    client->close(CloseReason::ClientLeft);
+    client->close(CloseReason::ClientDisconnected);
     ++figures_.of(*client->reason);
-    if (client->dropped_before_shutdown > 0) ++figures_.closed_unread;
+    if (client->dropped_before_shutdown > 0)
+        ++figures_.closed_unread;
     log_ended(*client);
     clients_.erase(client);
     last_change_ = deadlines_.clock.now();
-    if (done_ && clients_.empty() && !acceptor_.is_open()) std::exchange(done_, nullptr)();
+    if (done_ && clients_.empty() && !acceptor_.is_open())
+        std::exchange(done_, nullptr)();
 }
 
 void Clients::drain(Micros let_go, Micros withdraw_at, std::function<void()> done) {
@@ -209,18 +230,21 @@
     last_change_ = deadlines_.clock.now();
     for (Client &client : clients_) {
         client.staying = true;
-        if (client.notify) client.notify();
+        if (client.notify)
+            client.notify();
     }
     drain_turn();
 }
 
 void Clients::quiesce(std::optional<Micros> since) {
-    if (since.has_value() == quiesced_.has_value()) return;
+    if (since.has_value() == quiesced_.has_value())
+        return;
     quiesced_ = since;
     away_.reset();
     report_.reset();
     core::log("quiesce: {}", since ? "clients are sent away once the front has moved" : "over");
-    if (!since) return;
+    if (!since)
+        return;
     away_ = deadlines_.at(*since + kFrontMoves, [this] {
         report_closing("quiesce");
         send_away();
@@ -238,8 +262,10 @@
     const Micros now = deadlines_.clock.now();
     const Micros took = now - client.closing.since;
     const bool told = client.closing.since != 0 && (took >= kSlowToClose || quiesced_ || done_);
-    if (!told && client.dropped_before_shutdown == 0) return;
-    if (!ended_lines_.allows(now)) return;
+    if (!told && client.dropped_before_shutdown == 0)
+        return;
+    if (!ended_lines_.allows(now))
+        return;
     core::log("client {} ended after {} ms, {} ms after it was to ({}); requests read meanwhile: {}, "
               "has asked: {}; bytes dropped before its shutdown: {}, after it: {}; lines left out: {}",
               client.id, (now - client.use().accepted) / 1000, client.closing.since == 0 ? 0 : took / 1000,
@@ -265,7 +291,8 @@
                   name(*longest->reason), longest->use().owed, longest->asked_since, longest->use().partial,
                   longest->writing);
     report_ = deadlines_.in(kReportEvery, [this, cause] {
-        if (!clients_.empty()) report_closing(cause);
+        if (!clients_.empty())
+            report_closing(cause);
     });
 }
 
@@ -276,14 +303,16 @@
 // Those who are there; who comes later is told as it is admitted.
 void Clients::send_away() {
     const Micros now = deadlines_.clock.now();
-    for (Client &client : clients_) client.send_away(now);
+    for (Client &client : clients_)
+        client.send_away(now);
 }
 
 // Clients go on using what connections they have for as long as those are open, and cannot know of a broker
 // that has gone.
 void Clients::drain_turn() {
     const Micros now = deadlines_.clock.now();
-    if (now >= let_go_at_ && !letting_go_) let_go();
+    if (now >= let_go_at_ && !letting_go_)
+        let_go();
     const bool none_comes = clients_.empty() && now - last_change_ >= kStillComing;
     if (now < withdraw_at_ && !none_comes) {
         look_ = deadlines_.in(kRetryAccept, [this] { drain_turn(); });
@@ -296,27 +325,33 @@
         return;
     }
     stop_listening();
-    if (clients_.empty() && done_) std::exchange(done_, nullptr)();
+    if (clients_.empty() && done_)
+        std::exchange(done_, nullptr)();
 }
 
 void Clients::let_go() {
     letting_go_ = true;
     report_closing("shutdown");
     const Micros now = deadlines_.clock.now();
-    for (Client &client : clients_) client.shut_down(now, withdraw_at_);
+    for (Client &client : clients_)
+        client.shut_down(now, withdraw_at_);
 }
 
 // What waits to be accepted may have a request written to it, which counts as taken. Accepts all of it in one
 // turn, as others may join it in the meantime, and as there is room, or without: `last`. Whether none waits.
 bool Clients::accept_queue(bool last) {
     for (int n = 0; n < kAcceptsAtOnce; ++n) {
-        if (budget_.clients_full() && !evict_one() && !last) return false;
+        if (budget_.clients_full() && !evict_one() && !last)
+            return false;
         tcp::socket socket(io_);
         boost::system::error_code error;
         acceptor_.accept(socket, error);
-        if (error == asio::error::would_block) return true;
-        if (error.value() == EMFILE || error.value() == ENFILE) evict_one();
-        if (error) return false; // one connection has gone, or it passes
+        if (error == asio::error::would_block)
+            return true;
+        if (error.value() == EMFILE || error.value() == ENFILE)
+            evict_one();
+        if (error)
+            return false; // one connection has gone, or it passes
         ++last_accepts_;
         admit(std::move(socket), Passed());
     }
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -84,7 +84,8 @@
     /// while there is time.
     bool refuses(Micros now) const { return closing.withdrawn || (use().asked && closing.crossed(now)); }
     void note(CloseReason why) {
-        if (!reason) reason = why;
+        if (!reason)
+            reason = why;
     }
     std::size_t unread_bytes() {
         boost::system::error_code error;
@@ -96,7 +97,8 @@
     void begin_closing(CloseReason why, Micros now) { end_by(why, now, now + Closing::kWithin, false); }
     /// The same while operators send clients away: one that has just come is given the time to ask.
     void send_away(Micros now) {
-        if (use().closing) return;
+        if (use().closing)
+            return;
         closing.first_until = now + Closing::kFirstWithin;
         begin_closing(CloseReason::Quiesce, now);
     }
--- a/src/net/control/control.cpp
+++ b/src/net/control/control.cpp
@@ -18,8 +18,12 @@
                        "Connection: close\r\n\r\n{}",
                        status, reason, body.size(), more, body);
 }
-std::string no(int status, const char *reason) { return spell(status, reason, fmt::format("{}\n", reason)); }
-std::string yes() { return spell(200, "OK", "ok\n"); }
+std::string no(int status, const char *reason) {
+    return spell(status, reason, fmt::format("{}\n", reason));
+}
+std::string yes() {
+    return spell(200, "OK", "ok\n");
+}
 
 std::string bare(std::string text) {
     const char *const blank = " \t\r\n";
@@ -53,7 +57,8 @@
                                                                        {"datagrams", c.datagrams},
                                                                        {"datagram_bytes", c.datagram_bytes}})
         count(name, n);
-    for (const auto &[name, n] : c.overload) count(name, n);
+    for (const auto &[name, n] : c.overload)
+        count(name, n);
     for (std::size_t n = 0; n < figures.repeats.size(); ++n)
         count(fmt::format("repeats_{}", core::kStatusNames[n]), figures.repeats[n]);
     count("hedges", figures.hedges);
@@ -82,7 +87,8 @@
         boost::system::error_code error;
         tcp::socket socket(io_);
         error = co_await accept_next(acceptor_, socket);
-        if (error == asio::error::operation_aborted) co_return;
+        if (error == asio::error::operation_aborted)
+            co_return;
         if (error) {
             core::log("control: {}", error.message());
             rest.expires_after(std::chrono::microseconds(kRest));
@@ -90,7 +96,8 @@
             continue;
         }
         // A call is answered as soon as it is there, so who has waited longest says nothing.
-        if (callers_.size() >= kMostCallers) callers_.front().socket.close(error);
+        if (callers_.size() >= kMostCallers)
+            callers_.front().socket.close(error);
         asio::co_spawn(io_, hear(callers_.emplace(callers_.end(), std::move(socket))), asio::detached);
     }
 }
@@ -119,7 +126,8 @@
         co_await write_all(socket, out, error);
         socket.shutdown(tcp::socket::shutdown_send, error);
         limit = deadlines_.in(kLinger, close); // closed at once, what it still sends would cost it the answer
-        for (in.clear(); !error && in.size() < kMostCall;) error = co_await read_more(socket, in);
+        for (in.clear(); !error && in.size() < kMostCall;)
+            error = co_await read_more(socket, in);
     }
     close();
     callers_.erase(caller);
@@ -131,12 +139,14 @@
     const std::string &target = request.target;
     const bool cells = do_.cells && target.starts_with(kCells) &&
                        (target.size() == kCells.size() || target[kCells.size()] == '/');
-    if (!cells) co_return answer_now(request);
+    if (!cells)
+        co_return answer_now(request);
     std::string what = target.size() > kCells.size() ? target.substr(kCells.size() + 1) : "list";
     const bool reads = what == "list" || what == "here" || what.starts_with("where/");
     const bool changes = what == "move" || what == "pin" || what == "unpin" || what == "freeze" ||
                          what == "unfreeze" || what == "evacuate" || what == "restore";
-    if (!reads && !changes) co_return no(404, "Not Found");
+    if (!reads && !changes)
+        co_return no(404, "Not Found");
     if (request.method != (reads ? "GET" : "POST"))
         co_return spell(405, "Method Not Allowed", "", reads ? "Allow: GET\r\n" : "Allow: POST\r\n");
     std::string body = bare(request.body);
@@ -144,7 +154,8 @@
         body = what.substr(6);
         what = "where";
     }
-    if (changes) core::log("control: cells {} {}", what, body);
+    if (changes)
+        core::log("control: cells {} {}", what, body);
     const auto [status, text] = co_await do_.cells(what, body, changes);
     co_return spell(status, status == 200 ? "OK" : status == 503 ? "Service Unavailable" : "Conflict", text);
 }
@@ -152,17 +163,23 @@
 std::string Control::answer_now(const http::Request &request) {
     static constexpr std::string_view kAdmin = "/admin/";
     const std::string_view target = request.target;
-    if (!target.starts_with(kAdmin)) return no(404, "Not Found");
+    if (!target.starts_with(kAdmin))
+        return no(404, "Not Found");
     const std::string_view call = target.substr(kAdmin.size());
     const bool reads = call == "health" || call == "stats";
     const bool changes = call == "cordon" || call == "uncordon" || call == "quiesce" || call == "resume";
-    if (!reads && !changes) return no(404, "Not Found");
+    if (!reads && !changes)
+        return no(404, "Not Found");
     if (request.method != (reads ? "GET" : "POST"))
         return spell(405, "Method Not Allowed", "", reads ? "Allow: GET\r\n" : "Allow: POST\r\n");
-    if (call == "health") return yes();
-    if (call == "stats") return spell(200, "OK", do_.stats());
-    if (!do_.cordon) return no(404, "Not Found");
-    if (!do_.acts()) return no(503, "Service Unavailable");
+    if (call == "health")
+        return yes();
+    if (call == "stats")
+        return spell(200, "OK", do_.stats());
+    if (!do_.cordon)
+        return no(404, "Not Found");
+    if (!do_.acts())
+        return no(503, "Service Unavailable");
     core::log("control: {} {}", call, bare(request.body));
     if (call == "quiesce" || call == "resume") {
         do_.quiesce(call == "quiesce");
--- a/src/net/costs.cpp
+++ b/src/net/costs.cpp
@@ -13,18 +13,18 @@
 
 } // namespace
 
-Counts counts(const OverloadFigures &f) {
+Counts counts(const OverloadMetrics &f) {
     const auto whole = [](double units) { return static_cast<std::uint64_t>(units); };
-    return {{{"cold_asked", f.grants.asked},      {"cold_given", f.grants.given},
-             {"cold_taken", f.grants.taken},      {"cold_used", f.grants.used},
-             {"cold_wasted", f.grants.wasted},    {"cold_strange", f.grants.strange},
-             {"loans_asked", f.loans.asked},      {"loans_met", f.loans.met},
-             {"units_lent", whole(f.loans.lent)}, {"units_taken", whole(f.loans.taken)},
-             {"units_used", whole(f.loans.used)}, {"units_wasted", whole(f.loans.wasted)},
-             {"loans_strange", f.loans.strange},  {"shed_limit", f.shed.limit},
-             {"shed_no_node", f.shed.no_node},    {"shed_distrust", f.shed.distrust},
-             {"shed_cold", f.shed.cold},          {"shed_bound", f.shed.bound},
-             {"shed_worth", f.shed.worth},        {"shed_held", f.shed.held}}};
+    return {{{"cold_asked", f.grants.requested},        {"cold_given", f.grants.granted},
+             {"cold_taken", f.grants.accepted},         {"cold_used", f.grants.used},
+             {"cold_wasted", f.grants.wasted},          {"cold_strange", f.grants.malformed},
+             {"loans_asked", f.loans.requested},        {"loans_met", f.loans.registrations},
+             {"units_lent", whole(f.loans.units_lent)}, {"units_taken", whole(f.loans.units_borrowed)},
+             {"units_used", whole(f.loans.units_used)}, {"units_wasted", whole(f.loans.units_wasted)},
+             {"loans_strange", f.loans.malformed},      {"shed_limit", f.shed.rate_limit},
+             {"shed_no_node", f.shed.no_node},          {"shed_distrust", f.shed.ejected},
+             {"shed_cold", f.shed.slow_start},          {"shed_bound", f.shed.concurrency_limit},
+             {"shed_worth", f.shed.lower_priority},     {"shed_held", f.shed.queue_full}}};
 }
 
 std::string spell(const Costs &c) {
@@ -36,7 +36,8 @@
                     a_thousand(c.connections, c.requests), a_thousand(c.list_calls, c.requests), c.failed,
                     c.broken, c.turned_away, c.refused, c.unsent, c.datagrams, c.datagram_bytes);
     for (const auto &[name, n] : c.overload)
-        if (n > 0) text += fmt::format(" {}={}", name, n);
+        if (n > 0)
+            text += fmt::format(" {}={}", name, n);
     return text;
 }
 
@@ -47,7 +48,8 @@
 
 void CostLog::look() {
     const Costs now = read_();
-    if (now != last_) core::log("{}", spell(now));
+    if (now != last_)
+        core::log("{}", spell(now));
     last_ = now;
     next_ = deadlines_.in(kEvery, [this] { look(); });
 }
--- a/src/net/costs.hpp
+++ b/src/net/costs.hpp
@@ -16,7 +16,7 @@
 
 // What the module counts of overload, by the names that figures and the log have for it (docs/overload.md).
 using Counts = std::array<std::pair<const char *, std::uint64_t>, 20>;
-Counts counts(const OverloadFigures &figures);
+Counts counts(const OverloadMetrics &figures);
 
 struct Costs {                     // counts since the start
     std::uint64_t requests = 0;    // answered, by any outcome
--- a/src/net/descriptor.hpp
+++ b/src/net/descriptor.hpp
@@ -15,7 +15,8 @@
         return *this;
     }
     ~Descriptor() {
-        if (fd_ >= 0) ::close(fd_);
+        if (fd_ >= 0)
+            ::close(fd_);
     }
     int get() const { return fd_; }
     int release() { return std::exchange(fd_, -1); }
--- a/src/net/discovery/discovery.cpp
+++ b/src/net/discovery/discovery.cpp
@@ -24,7 +24,8 @@
 constexpr Micros kWholeAgain = 10'000'000;
 
 Micros longest_pause(const Settings &settings) { // the list may be no older than the settings say
-    return settings.ask_within > 0 ? std::clamp(settings.ask_within, kPause, kLongestPause) : kLongestPause;
+    return settings.list_poll_interval > 0 ? std::clamp(settings.list_poll_interval, kPause, kLongestPause)
+                                           : kLongestPause;
 }
 
 } // namespace
@@ -34,7 +35,8 @@
     reading.revision = config::need_integer(answer, "revision");
     reading.update.kind =
         config::flag_or(answer, "complete", false) ? ListUpdate::Kind::Full : ListUpdate::Kind::Changes;
-    if (!config::need(answer, "members").isArray()) throw config::Error("field 'members' is not a list");
+    if (!config::need(answer, "members").isArray())
+        throw config::Error("field 'members' is not a list");
     return reading;
 }
 
@@ -60,19 +62,23 @@
       revision_(revision), heard_(open(at, std::move(host), false)) {}
 
 void Discovery::move(const tcp::endpoint &at, std::string host) {
-    if (next_) end(*next_);
+    if (next_)
+        end(*next_);
     next_ = open(at, std::move(host), true);
 }
 
 std::shared_ptr<Discovery::Watch> Discovery::open(const tcp::endpoint &at, std::string host, bool foreign) {
     const std::uint64_t seed = settings_.seed + opened_++;
-    const core::Backoff wait = settings_.ask_for_list ? core::Backoff(kPause, longest_pause(settings_), seed)
-                                                      : core::Backoff(kAgentPause, kLongestAgentPause, seed);
+    const core::Backoff wait = settings_.poll_endpoint_list
+                                   ? core::Backoff(kPause, longest_pause(settings_), seed)
+                                   : core::Backoff(kAgentPause, kLongestAgentPause, seed);
     auto watch = std::make_shared<Watch>(io_, at, std::move(host), wait);
     watch->foreign = foreign;
-    if (foreign || revision_ < 0) watch->whole_from = 0;
+    if (foreign || revision_ < 0)
+        watch->whole_from = 0;
     asio::co_spawn(io_, run(watch), [](const std::exception_ptr &error) {
-        if (error) std::rethrow_exception(error); // a broker that no longer watches must not go on unseen
+        if (error)
+            std::rethrow_exception(error); // a broker that no longer watches must not go on unseen
     });
     return watch;
 }
@@ -91,7 +97,8 @@
 void Discovery::select_distributor(Watch &watch) {
     selector_->reconsider(deadlines_.clock.now());
     const std::string &address = selector_->current().address;
-    if (address == watch.host) return;
+    if (address == watch.host)
+        return;
     close(watch);
     watch.host = address;
     watch.at = endpoint<tcp::endpoint>(address).value_or(watch.at); // was read at the start
@@ -101,19 +108,23 @@
 // Renewed at once after each answer, on the same connection: a gap of over 200 ms would begin a new watch.
 asio::awaitable<void> Discovery::run(std::shared_ptr<Watch> watch) {
     while (!watch->over) {
-        if (selector_) select_distributor(*watch);
+        if (selector_)
+            select_distributor(*watch);
         const bool whole = deadlines_.clock.now() >= watch->whole_from;
         const Micros wait = whole || watch->unproven ? 0 : kWatch - watch->backoff.part(kSpread);
         std::string path = target(whole ? std::nullopt : std::optional(revision_), wait);
         const auto reading = co_await call(*watch, std::move(path), wait);
-        if (watch->over) break;
+        if (watch->over)
+            break;
         if (reading && takes(*watch, *reading, whole)) {
             revision_ = reading->revision;
-            if (whole) watch->foreign = false, watch->whole_from = INT64_MAX;
+            if (whole)
+                watch->foreign = false, watch->whole_from = INT64_MAX;
             watch->lower.reset();
             watch->backoff.reset();
             watch->unproven = false;
-            if (selector_) selector_->answered();
+            if (selector_)
+                selector_->answered();
             if (watch == next_) {
                 end(*heard_);
                 heard_ = std::exchange(next_, nullptr);
@@ -124,7 +135,8 @@
         if (whole && watch->foreign && watch->crowded)
             watch->whole_from = deadlines_.clock.now() + kWholeAgain / 2 + watch->backoff.part(kWholeAgain);
         close(*watch);
-        if (selector_) selector_->failed(deadlines_.clock.now());
+        if (selector_)
+            selector_->failed(deadlines_.clock.now());
         co_await pause(*watch);
     }
 }
@@ -137,9 +149,11 @@
         core::log("discovery: changes where the whole list was asked for");
         return false;
     }
-    if (reading.revision >= revision_ || (whole && watch.foreign)) return true;
+    if (reading.revision >= revision_ || (whole && watch.foreign))
+        return true;
     ++traffic_.older;
-    if (selector_) return false; // that distributor is behind: another one is asked
+    if (selector_)
+        return false; // that distributor is behind: another one is asked
     const bool again = whole && watch.lower && reading.revision >= *watch.lower;
     core::log("discovery: revision {} after {}", reading.revision, revision_);
     watch.lower = reading.revision;
@@ -150,25 +164,29 @@
 asio::awaitable<void> Discovery::pause(Watch &watch) {
     bool over = false;
     Micros length = watch.backoff.next();
-    if (watch.crowded && settings_.ask_for_list && !selector_)
+    if (watch.crowded && settings_.poll_endpoint_list && !selector_)
         length = std::max(length, kCrowded + watch.backoff.part(kCrowdedSpread));
     const auto entry = deadlines_.in(length, [&] {
         over = true;
         watch.woken.put(true);
     });
-    while (!over && !watch.over) co_await watch.woken.take();
+    while (!over && !watch.over)
+        co_await watch.woken.take();
 }
 
 std::string Discovery::target(std::optional<std::int64_t> since, Micros wait) const {
     std::string query;
-    if (since) query = fmt::format("since={}&timeout_ms={}", *since, wait / 1000);
-    if (feed_.report) query += (query.empty() ? "" : "&") + feed_.report();
+    if (since)
+        query = fmt::format("since={}&timeout_ms={}", *since, wait / 1000);
+    if (feed_.report)
+        query += (query.empty() ? "" : "&") + feed_.report();
     return query.empty() ? feed_.path : feed_.path + "?" + query;
 }
 
 asio::awaitable<std::optional<Reading>> Discovery::call(Watch &watch, std::string path, Micros wait) {
     const auto failed = [&](std::string_view why) {
-        if (!watch.over) core::log("discovery: {}", why);
+        if (!watch.over)
+            core::log("discovery: {}", why);
     };
     watch.crowded = false;
     ++traffic_.calls; // one a call, whether it comes through or not
@@ -176,7 +194,8 @@
         fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", path, watch.host);
     boost::system::error_code error;
     tcp::socket &socket = watch.socket;
-    if (socket.is_open() && !quiet(socket)) socket.close(error); // ended, or more than an answer has come
+    if (socket.is_open() && !quiet(socket))
+        socket.close(error); // ended, or more than an answer has come
     if (!socket.is_open()) {
         error = co_await dial(socket, watch.at, deadlines_.clock.now() + kAnswer, deadlines_);
         if (error) {
@@ -188,7 +207,8 @@
     const auto response =
         co_await http::exchange(socket, request, deadlines_.clock.now() + wait + kAnswer, deadlines_);
     watch.crowded = response && response->status == 503;
-    if (response) traffic_.received_bytes += response->wire_bytes;
+    if (response)
+        traffic_.received_bytes += response->wire_bytes;
     if (!response || response->status != 200) {
         ++traffic_.failed;
         failed(response ? fmt::format("status {}", response->status) : "no answer");
--- a/src/net/fleet.hpp
+++ b/src/net/endpoint_registry.hpp
@@ -1,9 +1,9 @@
 // The nodes as the whole program knows them: what discovery tells and operators change reaches ports and
-// planners from here.
+// dispatchers from here.
 #pragma once
 
-#include "core/planner.hpp"
-#include "core/roster.hpp"
+#include "core/endpoint_list.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/discovery/discovery.hpp"
 #include "net/nvme/mapping.hpp"
 #include "net/nvme/node_port.hpp"
@@ -12,19 +12,20 @@
 
 namespace marblewood::net {
 
-class Fleet {
+class EndpointRegistry {
 public:
-    using Planners = std::vector<std::unique_ptr<core::Planner>>;
-    Fleet(config::Names &names, config::Names &zones, const nvme::Mapping &mapping, resp::NodePort &resp_port,
-          nvme::NodePort &nvme_port, Ports &ports, Planners &planners)
+    using Dispatchers = std::vector<std::unique_ptr<core::RequestDispatcher>>;
+    EndpointRegistry(config::Names &names, config::Names &zones, const nvme::Mapping &mapping,
+                     resp::NodePort &resp_port, nvme::NodePort &nvme_port, Ports &ports,
+                     Dispatchers &dispatchers)
         : names_(names), zones_(zones), mapping_(mapping), resp_port_(resp_port), nvme_port_(nvme_port),
-          ports_(ports), planners_(planners) {}
+          ports_(ports), dispatchers_(dispatchers) {}
 
     void told(const discovery::Reading &reading);
-    // From now on only nodes with an id that `allows` takes are told to the planners. Called again whenever
-    // its answers may have changed.
+    // From now on only nodes with an id that `allows` takes are told to the dispatchers. Called again
+    // whenever its answers may have changed.
     void confine(std::function<bool(const std::string &id)> allows);
-    std::size_t ready() const; // nodes that the planners are told of and may send to
+    std::size_t ready() const; // nodes that the dispatchers are told of and may send to
     // By hand. False: nobody has the id.
     bool cordon(const std::string &id);
     bool uncordon(const std::string &id);
@@ -38,8 +39,8 @@
     // A successor has the state; or, not `on`, it has gone.
     void retire(bool on);
 
-    std::size_t size() const { return roster_.entries().size(); }
-    std::size_t avoided() const; // listed, and out by hand or by a planner's choice
+    std::size_t size() const { return endpoints_.entries().size(); }
+    std::size_t avoided() const; // listed, and out by hand or by a dispatcher's choice
     std::size_t open() const;    // requests that still owe an answer
 
 private:
@@ -54,8 +55,8 @@
     resp::NodePort &resp_port_;
     nvme::NodePort &nvme_port_;
     Ports &ports_;
-    Planners &planners_;
-    core::Roster roster_;
+    Dispatchers &dispatchers_;
+    core::EndpointList endpoints_;
     std::function<bool(const std::string &)> allows_;
     std::map<NodeId, std::string> addresses_;
     std::int64_t revision_ = 0;
--- a/src/net/eviction_order.cpp
+++ b/src/net/eviction_order.cpp
@@ -12,8 +12,10 @@
 
 EvictionOrder::Entry::~Entry() {
     order_.withdraw(*this);
-    if (newcomer_) order_.newcomers_.erase(age(*this));
-    if (counted_asker_) --order_.askers_;
+    if (newcomer_)
+        order_.newcomers_.erase(age(*this));
+    if (counted_asker_)
+        --order_.askers_;
 }
 
 void EvictionOrder::Entry::received(Micros now) {
@@ -43,18 +45,24 @@
 
 std::optional<std::size_t> EvictionOrder::queue_of(const Entry &entry) {
     const ConnectionUse &use = entry.use_;
-    if (use.ending) return kEnding;
+    if (use.ending)
+        return kEnding;
     const bool begun = use.asked || use.partial;
     // One that is closing and has begun ends by itself. One that has not holds room that others may need.
-    if (use.owed > 0 || (use.closing && begun) || (use.partial && use.asked)) return std::nullopt;
-    if (entry.newcomer_ && !use.asked) return kNewcomer;
-    if (use.partial) return kPartial;
+    if (use.owed > 0 || (use.closing && begun) || (use.partial && use.asked))
+        return std::nullopt;
+    if (entry.newcomer_ && !use.asked)
+        return kNewcomer;
+    if (use.partial)
+        return kPartial;
     return use.asked ? kAsked : kSilent;
 }
 
 void EvictionOrder::withdraw(Entry &entry) {
-    if (entry.queue_) queues_[*entry.queue_].erase(key(entry));
-    if (entry.filed_idle_) idle_askers_.erase(key(entry));
+    if (entry.queue_)
+        queues_[*entry.queue_].erase(key(entry));
+    if (entry.filed_idle_)
+        idle_askers_.erase(key(entry));
     entry.queue_.reset();
     entry.filed_idle_ = false;
 }
@@ -64,17 +72,21 @@
     const auto queue = queue_of(entry);
     const bool asker = use.asked && !use.lasting && !use.closing;
     const bool idle_asker = asker && use.idle();
-    if (asker != entry.counted_asker_) asker ? ++askers_ : --askers_;
+    if (asker != entry.counted_asker_)
+        asker ? ++askers_ : --askers_;
     entry.counted_asker_ = asker;
     const bool unchanged = queue == entry.queue_ && idle_asker == entry.filed_idle_;
     const bool unfiled = !queue && !idle_asker;
-    if (unchanged && (unfiled || use.used == entry.filed_used_)) return;
+    if (unchanged && (unfiled || use.used == entry.filed_used_))
+        return;
     withdraw(entry);
     entry.filed_used_ = use.used;
     entry.queue_ = queue;
     entry.filed_idle_ = idle_asker;
-    if (queue) queues_[*queue].insert(key(entry));
-    if (idle_asker) idle_askers_.insert(key(entry));
+    if (queue)
+        queues_[*queue].insert(key(entry));
+    if (idle_asker)
+        idle_askers_.insert(key(entry));
 }
 
 void EvictionOrder::graduate(Micros now) {
@@ -99,7 +111,8 @@
             }
             in_use.push_back(candidate.entry);
         }
-    for (Entry *entry : in_use) entry->received(now); // not looked at again before the others
+    for (Entry *entry : in_use)
+        entry->received(now); // not looked at again before the others
     return found;
 }
 
--- a/src/net/handover/channel.cpp
+++ b/src/net/handover/channel.cpp
@@ -13,14 +13,16 @@
 std::optional<sockaddr_un> address(const std::string &path) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
-    if (path.size() >= sizeof at.sun_path) return std::nullopt;
+    if (path.size() >= sizeof at.sun_path)
+        return std::nullopt;
     std::memcpy(at.sun_path, path.data(), path.size());
     return at;
 }
 
 template <typename Call> int open(const std::string &path, Call call) {
     const auto at = address(path);
-    if (!at) return -1;
+    if (!at)
+        return -1;
     Descriptor fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
     if (fd.get() < 0 || !call(fd.get(), reinterpret_cast<const sockaddr *>(&*at), socklen_t{sizeof *at}))
         return -1;
@@ -63,10 +65,12 @@
     head.msg_controllen = sizeof room.bytes;
     errno = 0;
     const auto got = ::recvmsg(fd, &head, MSG_CMSG_CLOEXEC);
-    if (got <= 0) return std::nullopt;
+    if (got <= 0)
+        return std::nullopt;
     packet.bytes.resize(static_cast<std::size_t>(got));
     for (cmsghdr *c = CMSG_FIRSTHDR(&head); c; c = CMSG_NXTHDR(&head, c)) {
-        if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
+        if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS)
+            continue;
         for (std::size_t n = 0; n < (c->cmsg_len - CMSG_LEN(0)) / sizeof(int); ++n) {
             int passed = -1;
             std::memcpy(&passed, CMSG_DATA(c) + n * sizeof passed, sizeof passed);
@@ -91,7 +95,8 @@
         c->cmsg_type = SCM_RIGHTS;
         c->cmsg_len = CMSG_LEN(sizeof(int) * count);
         int passed[kMostDescriptors] = {};
-        for (std::size_t n = 0; n < count; ++n) passed[n] = packet.descriptors[n].get();
+        for (std::size_t n = 0; n < count; ++n)
+            passed[n] = packet.descriptors[n].get();
         std::memcpy(CMSG_DATA(c), passed, sizeof(int) * count);
     }
     errno = 0;
@@ -100,7 +105,8 @@
 
 void Channel::send(Packet packet) {
     queue_.push_back(std::move(packet));
-    if (queue_.size() == 1) asio::co_spawn(socket_.get_executor(), write(shared_from_this()), asio::detached);
+    if (queue_.size() == 1)
+        asio::co_spawn(socket_.get_executor(), write(shared_from_this()), asio::detached);
 }
 
 asio::awaitable<void> Channel::write([[maybe_unused]] std::shared_ptr<Channel> self) {
@@ -108,7 +114,8 @@
         if (!send_now(socket_.native_handle(), queue_.front())) {
             // Full, or more descriptors are under way than the system allows: the other side is taking them.
             const bool passes = errno == ETOOMANYREFS;
-            if (!passes && errno != EAGAIN) break;
+            if (!passes && errno != EAGAIN)
+                break;
             boost::system::error_code error;
             if (passes) {
                 asio::steady_timer rest(socket_.get_executor(), std::chrono::milliseconds(1));
@@ -117,7 +124,8 @@
                 co_await socket_.async_wait(asio::posix::descriptor_base::wait_write,
                                             asio::redirect_error(asio::use_awaitable, error));
             }
-            if (error) break;
+            if (error)
+                break;
             continue;
         }
         queue_.pop_front();
@@ -129,9 +137,11 @@
         boost::system::error_code error;
         co_await socket_.async_wait(asio::posix::descriptor_base::wait_read,
                                     asio::redirect_error(asio::use_awaitable, error));
-        if (error) co_return std::nullopt;
+        if (error)
+            co_return std::nullopt;
         auto packet = receive_now(socket_.native_handle());
-        if (packet || errno != EAGAIN) co_return packet;
+        if (packet || errno != EAGAIN)
+            co_return packet;
     }
 }
 
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -43,21 +43,26 @@
 
 std::optional<Inheritance> inherit(const std::string &path) {
     Descriptor fd(connect_to(path));
-    if (fd.get() < 0) return std::nullopt;
+    if (fd.get() < 0)
+        return std::nullopt;
     ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &kAnswer, sizeof kAnswer);
     ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &kAnswer, sizeof kAnswer);
-    if (!ours(fd.get()) || !send_now(fd.get(), {std::string(1, kTake), {}})) return std::nullopt;
+    if (!ours(fd.get()) || !send_now(fd.get(), {std::string(1, kTake), {}}))
+        return std::nullopt;
     std::string text;
     Inheritance all;
     try {
         while (auto packet = receive_now(fd.get())) {
             const char kind = packet->bytes.front();
             text.append(packet->bytes, 1);
-            if (text.size() > kMostState || (kind != kPart && kind != kState)) break;
-            if (kind == kPart) continue;
+            if (text.size() > kMostState || (kind != kPart && kind != kState))
+                break;
+            if (kind == kPart)
+                continue;
             all.state = config::parse(text);
             const Json::Value &names = config::need(all.state, "sockets");
-            if (!names.isArray() || names.size() != packet->descriptors.size()) break;
+            if (!names.isArray() || names.size() != packet->descriptors.size())
+                break;
             for (Json::ArrayIndex n = 0; n < names.size(); ++n)
                 all.sockets[names[n].asString()] = std::move(packet->descriptors[n]);
             all.channel = std::move(fd);
@@ -77,7 +82,8 @@
 
 void Handover::listen() {
     const int fd = listen_at(path_);
-    if (fd < 0) return core::log("handover: can't listen at {}", path_);
+    if (fd < 0)
+        return core::log("handover: can't listen at {}", path_);
     listener_.emplace(io_, fd);
     listener_->non_blocking(true);
     asio::co_spawn(io_, await_successor(), asio::detached);
@@ -88,11 +94,14 @@
         boost::system::error_code error;
         co_await listener_->async_wait(asio::posix::descriptor_base::wait_read,
                                        asio::redirect_error(asio::use_awaitable, error));
-        if (error) break;
+        if (error)
+            break;
         Descriptor fd(::accept4(listener_->native_handle(), nullptr, nullptr, SOCK_CLOEXEC));
-        if (fd.get() < 0 || !ours(fd.get())) continue;
+        if (fd.get() < 0 || !ours(fd.get()))
+            continue;
         const bool served = co_await serve(std::make_shared<Channel>(io_.get_executor(), std::move(fd)));
-        if (served) co_return;
+        if (served)
+            co_return;
     }
 }
 
@@ -100,7 +109,8 @@
     {
         const auto limit = deadlines_.in(kAsk, [&] { successor->close(); });
         const auto wish = co_await successor->receive();
-        if (!wish || wish->bytes != std::string(1, kTake)) co_return false;
+        if (!wish || wish->bytes != std::string(1, kTake))
+            co_return false;
     }
     successor_ = successor;
     listener_.reset(); // the successor listens there from now on
@@ -120,32 +130,39 @@
     successor->send(std::move(last));
     core::log("handed over to a successor");
     program_.pass();
-    while (const auto order = co_await successor->receive()) hear(*order); // this ends with it
+    while (const auto order = co_await successor->receive())
+        hear(*order); // this ends with it
     successor_ = nullptr;
     core::log("the successor has gone: serving again");
     listen();
     program_.recover();
     for (Packet &packet : successor->unsent()) // those did not go
-        if (auto passed = read_client(packet)) program_.adopt(std::move(*passed));
+        if (auto passed = read_client(packet))
+            program_.adopt(std::move(*passed));
     co_return true;
 }
 
 void Handover::hear(const Packet &order) {
     const char kind = order.bytes.front();
-    if (kind == kCordon || kind == kUncordon) program_.cordon(order.bytes.substr(1), kind == kCordon);
-    if (kind == kQuiesce || kind == kResume) program_.quiesce(kind == kQuiesce);
+    if (kind == kCordon || kind == kUncordon)
+        program_.cordon(order.bytes.substr(1), kind == kCordon);
+    if (kind == kQuiesce || kind == kResume)
+        program_.quiesce(kind == kQuiesce);
 }
 
 void Handover::tell_predecessor(const std::string &id, bool out) {
-    if (predecessor_) predecessor_->send({(out ? kCordon : kUncordon) + id, {}});
+    if (predecessor_)
+        predecessor_->send({(out ? kCordon : kUncordon) + id, {}});
 }
 
 void Handover::tell_predecessor_quiesce(bool on) {
-    if (predecessor_) predecessor_->send({std::string(1, on ? kQuiesce : kResume), {}});
+    if (predecessor_)
+        predecessor_->send({std::string(1, on ? kQuiesce : kResume), {}});
 }
 
 void Handover::client(Passed passed) {
-    if (!successor_) return;
+    if (!successor_)
+        return;
     Packet packet;
     packet.bytes =
         fmt::format("{}{} {:d} {} ", kClient, passed.front, passed.asked, passed.since) + passed.bytes;
@@ -160,7 +177,8 @@
 
 asio::awaitable<void> Handover::take_clients(std::shared_ptr<Channel> predecessor) {
     while (auto packet = co_await predecessor->receive())
-        if (auto passed = read_client(*packet)) program_.adopt(std::move(*passed));
+        if (auto passed = read_client(*packet))
+            program_.adopt(std::move(*passed));
     core::log("the predecessor has gone");
     predecessor_ = nullptr;
     program_.alone();
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -16,8 +16,10 @@
                       [&](char x, char y) { return lower(x) == lower(y); });
 }
 std::string_view trim(std::string_view text) {
-    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+        text.remove_prefix(1);
+    while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+        text.remove_suffix(1);
     return text;
 }
 std::size_t length(std::string_view digits, int base) {
@@ -32,22 +34,29 @@
 bool chunks(std::string_view &rest, std::string &body) {
     for (;;) {
         const std::size_t end = rest.find("\r\n");
-        if (end == std::string_view::npos) return false;
+        if (end == std::string_view::npos)
+            return false;
         const std::string_view head = rest.substr(0, end);
         const std::size_t size = length(trim(head.substr(0, head.find(';'))), 16);
         rest.remove_prefix(end + 2);
-        if (size == 0) break;
-        if (rest.size() < size + 2) return false;
+        if (size == 0)
+            break;
+        if (rest.size() < size + 2)
+            return false;
         body.append(rest.substr(0, size));
-        if (body.size() > kMostBody) throw std::runtime_error("body too large");
-        if (rest.substr(size, 2) != "\r\n") throw std::runtime_error("chunk runs on");
+        if (body.size() > kMostBody)
+            throw std::runtime_error("body too large");
+        if (rest.substr(size, 2) != "\r\n")
+            throw std::runtime_error("chunk runs on");
         rest.remove_prefix(size + 2);
     }
     for (;;) { // trailers
         const std::size_t end = rest.find("\r\n");
-        if (end == std::string_view::npos) return false;
+        if (end == std::string_view::npos)
+            return false;
         rest.remove_prefix(end + 2);
-        if (end == 0) return true;
+        if (end == 0)
+            return true;
     }
 }
 
@@ -62,8 +71,10 @@
 // The head of a message; nothing while it is not whole.
 std::optional<Head> read_head(std::string_view in) {
     const std::size_t head_end = in.find("\r\n\r\n");
-    if (std::min(head_end, in.size()) > kMostHead) throw std::runtime_error("head too large");
-    if (head_end == std::string_view::npos) return std::nullopt;
+    if (std::min(head_end, in.size()) > kMostHead)
+        throw std::runtime_error("head too large");
+    if (head_end == std::string_view::npos)
+        return std::nullopt;
     const std::string_view text = in.substr(0, head_end);
     Head head;
     head.first = text.substr(0, text.find("\r\n"));
@@ -75,12 +86,17 @@
             text.substr(at, end == std::string_view::npos ? std::string_view::npos : end - at);
         at = end;
         const std::size_t colon = line.find(':');
-        if (colon == std::string_view::npos) throw std::runtime_error("malformed header");
+        if (colon == std::string_view::npos)
+            throw std::runtime_error("malformed header");
         const std::string_view name = line.substr(0, colon), value = trim(line.substr(colon + 1));
-        if (same(name, "content-length")) head.size = length(value, 10);
-        if (same(name, "transfer-encoding")) head.chunked = same(value, "chunked");
-        if (same(name, "connection") && same(value, "close")) head.close = true;
-        if (same(name, "retry-after")) head.retry_after = value;
+        if (same(name, "content-length"))
+            head.size = length(value, 10);
+        if (same(name, "transfer-encoding"))
+            head.chunked = same(value, "chunked");
+        if (same(name, "connection") && same(value, "close"))
+            head.close = true;
+        if (same(name, "retry-after"))
+            head.retry_after = value;
     }
     return head;
 }
@@ -89,7 +105,8 @@
 
 std::optional<Request> read_request(const std::string &in) {
     const auto head = read_head(in);
-    if (!head) return std::nullopt;
+    if (!head)
+        return std::nullopt;
     const std::string_view line = head->first;
     const std::size_t space = line.find(' '), last = line.rfind(' ');
     if (space == 0 || space == std::string_view::npos || last <= space + 1 ||
@@ -99,9 +116,11 @@
         std::string(line.substr(0, space)), std::string(line.substr(space + 1, last - space - 1)), {}, 0};
     std::string_view rest = std::string_view(in).substr(head->end);
     if (head->chunked) {
-        if (!chunks(rest, request.body)) return std::nullopt;
+        if (!chunks(rest, request.body))
+            return std::nullopt;
     } else {
-        if (rest.size() < head->size.value_or(0)) return std::nullopt;
+        if (rest.size() < head->size.value_or(0))
+            return std::nullopt;
         request.body = rest.substr(0, head->size.value_or(0));
         rest.remove_prefix(request.body.size());
     }
@@ -111,7 +130,8 @@
 
 std::optional<Response> take(std::string &in, bool ended) {
     const auto head = read_head(in);
-    if (!head) return std::nullopt;
+    if (!head)
+        return std::nullopt;
     if (head->first.size() < 12 || !head->first.starts_with("HTTP/1."))
         throw std::runtime_error("no status line");
     Response response;
@@ -124,14 +144,18 @@
         return take(in, ended);
     }
     if (head->chunked) {
-        if (!chunks(rest, response.body)) return std::nullopt;
+        if (!chunks(rest, response.body))
+            return std::nullopt;
     } else if (head->size) {
-        if (rest.size() < *head->size) return std::nullopt;
+        if (rest.size() < *head->size)
+            return std::nullopt;
         response.body = rest.substr(0, *head->size);
         rest.remove_prefix(*head->size);
     } else if (response.status != 204 && response.status != 304) { // the body ends with the connection
-        if (rest.size() > kMostBody) throw std::runtime_error("body too large");
-        if (!ended) return std::nullopt;
+        if (rest.size() > kMostBody)
+            throw std::runtime_error("body too large");
+        if (!ended)
+            return std::nullopt;
         response.body = rest;
         rest = {};
         response.keep = false;
@@ -154,16 +178,19 @@
         std::string in;
         while (!error && !response) {
             error = co_await read_more(socket, in);
-            if (in.size() > kMostMessage) break;
+            if (in.size() > kMostMessage)
+                break;
             try {
                 response = take(in, error == asio::error::eof);
             } catch (const std::runtime_error &) {
                 break;
             }
         }
-        if (response && !in.empty()) response->keep = false; // what stands behind an answer belongs to nobody
+        if (response && !in.empty())
+            response->keep = false; // what stands behind an answer belongs to nobody
     }
-    if (!response || !response->keep) socket.close(error);
+    if (!response || !response->keep)
+        socket.close(error);
     co_return response;
 }
 
--- a/src/net/link/codec.cpp
+++ b/src/net/link/codec.cpp
@@ -10,18 +10,26 @@
 
 using namespace marblewood::cells;
 
-std::uint64_t number(VolumeId v) { return static_cast<std::uint64_t>(v); }
+std::uint64_t number(VolumeId v) {
+    return static_cast<std::uint64_t>(v);
+}
 template <typename E> E choice(std::uint32_t value, E last, const char *what) {
-    if (value > static_cast<std::uint32_t>(last)) throw Unreadable(std::string("unknown ") + what);
+    if (value > static_cast<std::uint32_t>(last))
+        throw Unreadable(std::string("unknown ") + what);
     return static_cast<E>(value);
 }
 double units(double value) {
-    if (!std::isfinite(value) || value < 0) throw Unreadable("units that are none");
+    if (!std::isfinite(value) || value < 0)
+        throw Unreadable("units that are none");
     return value;
 }
 
-void put(wire::Epoch *out, const Epoch &e) { out->set_number(e.number), out->set_origin(e.origin); }
-Epoch get(const wire::Epoch &in) { return {in.number(), in.origin()}; }
+void put(wire::Epoch *out, const Epoch &e) {
+    out->set_number(e.number), out->set_origin(e.origin);
+}
+Epoch get(const wire::Epoch &in) {
+    return {in.number(), in.origin()};
+}
 
 void put(wire::Left *out, const Left &left) {
     out->set_limit(left.limit);
@@ -33,7 +41,8 @@
 }
 Left get(const wire::Left &in) {
     Left left{units(in.limit()), units(in.reserve()), {}};
-    for (const auto &key : in.keys()) left.keys.push_back({key.hash(), key.until(), key.source()});
+    for (const auto &key : in.keys())
+        left.keys.push_back({key.hash(), key.until(), key.source()});
     return left;
 }
 
@@ -48,13 +57,16 @@
             auto *b = one->add_brokers();
             b->set_name(broker.name), b->set_clients(broker.clients), b->set_link(broker.link);
         }
-        for (const std::string &node : cell.nodes) one->add_nodes(node);
+        for (const std::string &node : cell.nodes)
+            one->add_nodes(node);
     }
-    for (const std::string &node : map.spare) out->add_spare(node);
+    for (const std::string &node : map.spare)
+        out->add_spare(node);
     std::map<std::string, wire::Pins *> by_cell; // a cell's name once, 8 bytes a volume
     for (const auto &[volume, cell] : map.pins) {
         wire::Pins *&pins = by_cell[cell];
-        if (!pins) pins = out->add_pins(), pins->set_cell(cell);
+        if (!pins)
+            pins = out->add_pins(), pins->set_cell(cell);
         pins->add_volumes(number(volume));
     }
 }
@@ -64,13 +76,15 @@
     map.spread = static_cast<int>(std::min<std::uint32_t>(in.spread(), 1000));
     for (const auto &one : in.cells()) {
         Cell cell{one.name(), one.capacity(), {}, {}, one.frozen(), one.evacuated()};
-        for (const auto &b : one.brokers()) cell.brokers.push_back({b.name(), b.clients(), b.link()});
+        for (const auto &b : one.brokers())
+            cell.brokers.push_back({b.name(), b.clients(), b.link()});
         cell.nodes.insert(one.nodes().begin(), one.nodes().end());
         map.cells.push_back(std::move(cell));
     }
     map.spare.insert(in.spare().begin(), in.spare().end());
     for (const auto &pins : in.pins())
-        for (const auto volume : pins.volumes()) map.pins[VolumeId{volume}] = pins.cell();
+        for (const auto volume : pins.volumes())
+            map.pins[VolumeId{volume}] = pins.cell();
     try {
         check(map);
     } catch (const std::invalid_argument &error) {
@@ -126,11 +140,13 @@
     auto *out = f.mutable_change();
     put(out->mutable_base(), c.base), put(out->mutable_epoch(), c.epoch);
     std::map<std::string, std::vector<VolumeId>> by_cell;
-    for (const auto &[volume, cell] : c.pins) by_cell[cell].push_back(volume);
+    for (const auto &[volume, cell] : c.pins)
+        by_cell[cell].push_back(volume);
     for (const auto &[cell, volumes] : by_cell) {
         auto *pins = out->add_pins();
         pins->set_cell(cell);
-        for (const VolumeId volume : volumes) pins->add_volumes(number(volume));
+        for (const VolumeId volume : volumes)
+            pins->add_volumes(number(volume));
     }
     put_moving(out, c.moving);
 }
@@ -190,7 +206,8 @@
     case Frame::kChange: {
         Change c{get(f.change().base()), get(f.change().epoch()), {}, get_moving(f.change())};
         for (const auto &pins : f.change().pins())
-            for (const auto volume : pins.volumes()) c.pins.emplace_back(VolumeId{volume}, pins.cell());
+            for (const auto volume : pins.volumes())
+                c.pins.emplace_back(VolumeId{volume}, pins.cell());
         return Message(std::move(c));
     }
     case Frame::kBehind:
@@ -220,11 +237,13 @@
     wire::Sealed sealed;
     if (!sealed.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         throw Unreadable("no state file");
-    if (sealed.version() != kVersion) throw Unreadable("a state file of another version");
+    if (sealed.version() != kVersion)
+        throw Unreadable("a state file of another version");
     if (sealed.hash() != XXH3_64bits(sealed.state().data(), sealed.state().size()))
         throw Unreadable("a state file that is not whole");
     Wire state;
-    if (!state.ParseFromString(sealed.state())) throw Unreadable("a state file that makes no sense");
+    if (!state.ParseFromString(sealed.state()))
+        throw Unreadable("a state file that makes no sense");
     return state;
 }
 
@@ -241,13 +260,15 @@
     wire::Frame f;
     if (!f.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         throw Unreadable("a malformed frame");
-    if (f.version() != kVersion) throw Unreadable("a frame of another version");
+    if (f.version() != kVersion)
+        throw Unreadable("a frame of another version");
     return {f.from(), body(f)};
 }
 
 std::string encode(const Resident::State &state) {
     wire::ResidentState out;
-    if (state.map) put(out.mutable_map(), *state.map);
+    if (state.map)
+        put(out.mutable_map(), *state.map);
     out.set_greatest(state.greatest);
     for (const auto &[volume, r] : state.records) {
         auto *one = out.add_records();
@@ -259,13 +280,15 @@
         one->set_since(r.since);
         one->set_home(r.home), one->set_home_number(r.home_number);
     }
-    for (const auto move : state.moving) out.add_moving(move);
+    for (const auto move : state.moving)
+        out.add_moving(move);
     return seal(out);
 }
 Resident::State decode_resident(std::string_view bytes) {
     const auto in = unseal<wire::ResidentState>(bytes);
     Resident::State state;
-    if (in.has_map()) state.map = get(in.map());
+    if (in.has_map())
+        state.map = get(in.map());
     state.greatest = in.greatest();
     for (const auto &r : in.records())
         state.records[VolumeId{r.volume()}] = {
@@ -282,15 +305,18 @@
     wire::KeeperState out;
     put(out.mutable_map(), state.map);
     out.set_counter(state.counter);
-    for (const VolumeId v : state.by_operator) out.add_by_operator(number(v));
+    for (const VolumeId v : state.by_operator)
+        out.add_by_operator(number(v));
     for (const auto &[volume, m] : state.moves) {
         auto *one = out.add_moves();
         one->set_volume(number(volume));
         put(one->mutable_epoch(), m.epoch);
         one->set_from(m.from), one->set_to(m.to), one->set_teller(m.teller);
         one->set_by_operator(m.by_operator), one->set_stage(static_cast<std::uint32_t>(m.stage));
-        for (const auto &b : m.sources) one->add_sources(b);
-        for (const auto &b : m.targets) one->add_targets(b);
+        for (const auto &b : m.sources)
+            one->add_sources(b);
+        for (const auto &b : m.targets)
+            one->add_targets(b);
         one->set_open_sent(m.open_sent), one->set_why(m.why);
         for (const auto &[broker, left] : m.left) {
             auto *given = one->add_left();
@@ -305,7 +331,8 @@
     Keeper::State state;
     state.map = get(in.map());
     state.counter = in.counter();
-    for (const auto v : in.by_operator()) state.by_operator.insert(VolumeId{v});
+    for (const auto v : in.by_operator())
+        state.by_operator.insert(VolumeId{v});
     for (const auto &one : in.moves()) {
         Keeper::Move m;
         m.epoch = get(one.epoch());
@@ -315,7 +342,8 @@
         m.sources.assign(one.sources().begin(), one.sources().end());
         m.targets.assign(one.targets().begin(), one.targets().end());
         m.open_sent = one.open_sent(), m.why = one.why();
-        for (const auto &given : one.left()) m.left[given.broker()] = get(given.left());
+        for (const auto &given : one.left())
+            m.left[given.broker()] = get(given.left());
         state.moves[VolumeId{one.volume()}] = std::move(m);
     }
     return state;
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -35,12 +35,15 @@
 
 void Link::send(const std::string &to, Body body) {
     const auto at = peers_.find(to);
-    if (at == peers_.end()) return;
+    if (at == peers_.end())
+        return;
     Peer &peer = *at->second;
     const std::string bytes = encode(Frame{name_, std::move(body)});
-    if (bytes.size() > kMostFrame) return core::log("link: a frame of {} bytes is not sent", bytes.size());
+    if (bytes.size() > kMostFrame)
+        return core::log("link: a frame of {} bytes is not sent", bytes.size());
     std::string framed;
-    for (int shift = 24; shift >= 0; shift -= 8) framed += static_cast<char>(bytes.size() >> shift & 0xff);
+    for (int shift = 24; shift >= 0; shift -= 8)
+        framed += static_cast<char>(bytes.size() >> shift & 0xff);
     framed += bytes;
     peer.bytes += framed.size();
     peer.queue.push_back(std::move(framed));
@@ -49,7 +52,8 @@
         peer.queue.pop_front();
         ++lost_;
     }
-    if (peer.work.empty()) peer.work.put(true);
+    if (peer.work.empty())
+        peer.work.put(true);
 }
 
 // With a random part, so that a keeper that comes back is not met by all brokers at once.
@@ -65,13 +69,16 @@
     tcp::endpoint connected;
     Micros wait = kRestFirst;
     for (;;) {
-        while (peer->queue.empty()) co_await peer->work.take();
+        while (peer->queue.empty())
+            co_await peer->work.take();
         boost::system::error_code error;
-        if (socket.is_open() && connected != peer->at) socket.close(error);
+        if (socket.is_open() && connected != peer->at)
+            socket.close(error);
         if (socket.is_open()) { // a peer never says anything here: what can be read is its end
             char byte;
             const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-            if (got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK)) socket.close(error);
+            if (got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
+                socket.close(error);
         }
         if (!socket.is_open()) {
             connected = peer->at;
@@ -92,7 +99,8 @@
             socket.close(ignored);
         });
         co_await write_all(socket, frame, error);
-        if (error) socket.close(error);
+        if (error)
+            socket.close(error);
     }
 }
 
@@ -101,12 +109,14 @@
         boost::system::error_code error;
         tcp::socket socket(io_);
         error = co_await accept_next(acceptor_, socket);
-        if (error == asio::error::operation_aborted) co_return;
+        if (error == asio::error::operation_aborted)
+            co_return;
         if (error) {
             co_await rest(kRestFirst);
             continue;
         }
-        if (callers_.size() >= kMostCallers) callers_.front().close(error);
+        if (callers_.size() >= kMostCallers)
+            callers_.front().close(error);
         asio::co_spawn(io_, hear(callers_.emplace(callers_.end(), std::move(socket))), asio::detached);
     }
 }
@@ -120,14 +130,16 @@
             boost::system::error_code ignored;
             socket.close(ignored);
         });
-        if (co_await read_more(socket, in)) break;
+        if (co_await read_more(socket, in))
+            break;
         std::size_t at = 0;
         while (good && in.size() - at >= kHead) {
             std::size_t length = 0;
             for (std::size_t n = 0; n < kHead; ++n)
                 length = length << 8 | static_cast<unsigned char>(in[at + n]);
             good = length <= kMostFrame;
-            if (!good || in.size() - at - kHead < length) break;
+            if (!good || in.size() - at - kHead < length)
+                break;
             try {
                 heard_(decode(std::string_view(in).substr(at + kHead, length)));
             } catch (const Unreadable &error) {
--- a/src/net/link/outbox.hpp
+++ b/src/net/link/outbox.hpp
@@ -16,7 +16,8 @@
     void save(std::string state) { needed_ = file_.save(std::move(state)); }
     void post(std::string to, Body body) {
         waiting_.push_back({needed_, std::move(to), std::move(body)});
-        if (waiting_.size() > kMostWaiting) waiting_.pop_front(); // as if the network had lost it
+        if (waiting_.size() > kMostWaiting)
+            waiting_.pop_front(); // as if the network had lost it
         flush();
     }
 
--- a/src/net/lists/codec.cpp
+++ b/src/net/lists/codec.cpp
@@ -23,7 +23,8 @@
 }
 
 dist::Phase phase(const std::string &text) {
-    if (text == "up") return dist::Phase::Up;
+    if (text == "up")
+        return dist::Phase::Up;
     return text == "draining" ? dist::Phase::Draining : dist::Phase::Removed;
 }
 
@@ -58,9 +59,11 @@
 // A name as it may stand in a call.
 std::string safe(std::string name) {
     constexpr std::size_t kLongest = 64;
-    if (name.size() > kLongest) name.resize(kLongest);
+    if (name.size() > kLongest)
+        name.resize(kLongest);
     for (char &c : name)
-        if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '.') c = '_';
+        if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '.')
+            c = '_';
     return name;
 }
 
@@ -70,7 +73,8 @@
         const std::string_view item = list.substr(0, list.find(','));
         list.remove_prefix(std::min(list.size(), item.size() + 1));
         const std::size_t colon = item.rfind(':');
-        if (colon == std::string_view::npos || colon == 0) throw std::runtime_error("not a pair");
+        if (colon == std::string_view::npos || colon == 0)
+            throw std::runtime_error("not a pair");
         take(item.substr(0, colon), number(item.substr(colon + 1)));
     }
 }
@@ -80,7 +84,8 @@
 
 void read_report(std::string_view item, Report &report) {
     const auto subtree = [&report]() -> dist::SubtreeReport & {
-        if (!report.subtree) report.subtree.emplace();
+        if (!report.subtree)
+            report.subtree.emplace();
         return *report.subtree;
     };
     if (item.starts_with("caller=")) {
@@ -108,7 +113,8 @@
     dist::Update update;
     update.revision = reading.revision;
     update.complete = reading.update.kind == ListUpdate::Kind::Full;
-    for (const Json::Value &row : reading.members) update.members.push_back(to_member(row));
+    for (const Json::Value &row : reading.members)
+        update.members.push_back(to_member(row));
     return update;
 }
 
@@ -116,7 +122,8 @@
     std::string out =
         fmt::format(R"({{"revision":{},"complete":{},"members":[)", delta.revision, delta.complete);
     for (const dist::Delta::Entry &entry : delta.entries) {
-        if (out.back() == '}') out += ',';
+        if (out.back() == '}')
+            out += ',';
         out += fmt::format(R"({{{},"phase":"{}"}})", entry.text, word(entry.phase));
     }
     return out + "]}";
@@ -144,21 +151,25 @@
 
 std::string spell(const Report &report) {
     std::string out = "caller=" + safe(report.caller);
-    if (report.applied) out += fmt::format("&applied={}", *report.applied);
-    if (!report.subtree) return out;
+    if (report.applied)
+        out += fmt::format("&applied={}", *report.applied);
+    if (!report.subtree)
+        return out;
     std::vector<std::string> below, lacking;
     for (const auto &[version, brokers] : report.subtree->brokers)
         below.push_back(fmt::format("{}:{}", version, brokers));
     for (const dist::Lacking &one : report.subtree->lacking)
         lacking.push_back(fmt::format("{}:{}", safe(one.broker), one.for_us / 1000));
-    if (below.size() > kMostVersions) below.erase(below.begin(), below.end() - kMostVersions);
+    if (below.size() > kMostVersions)
+        below.erase(below.begin(), below.end() - kMostVersions);
     return out + fmt::format("&below={}&lacking={}", fmt::join(below, ","), fmt::join(lacking, ","));
 }
 
 std::optional<Call> read_call(std::string_view target) {
     const std::size_t question = target.find('?');
     const std::string_view path = target.substr(0, question);
-    if (path != kNodesPath && path != kDocumentsPath) return std::nullopt;
+    if (path != kNodesPath && path != kDocumentsPath)
+        return std::nullopt;
     Call call;
     call.channel = path == kNodesPath ? Channel::Nodes : Channel::Documents;
     std::string_view rest = question == std::string_view::npos ? "" : target.substr(question + 1);
--- a/src/net/lists/document_watch.cpp
+++ b/src/net/lists/document_watch.cpp
@@ -10,9 +10,11 @@
 // config::Error.
 std::optional<config::Operations> operations_in(const discovery::Reading &reading) {
     std::optional<config::Operations> operations;
-    if (reading.update.kind == ListUpdate::Kind::Full) operations.emplace();
+    if (reading.update.kind == ListUpdate::Kind::Full)
+        operations.emplace();
     for (const Json::Value &row : reading.members) {
-        if (row["id"].asString() != config::kOperationsDocument) continue;
+        if (row["id"].asString() != config::kOperationsDocument)
+            continue;
         operations = row["phase"].asString() == "removed" ? config::Operations()
                                                           : config::read_operations(row["document"]);
     }
@@ -23,7 +25,7 @@
 
 Settings shared_service(std::uint64_t seed) {
     Settings settings;
-    settings.ask_for_list = true;
+    settings.poll_endpoint_list = true;
     settings.seed = seed;
     return settings;
 }
@@ -39,15 +41,20 @@
     watch_->use(std::move(selector));
 }
 
-std::string DocumentWatch::report() const { return spell(Report{broker_, in_force_, std::nullopt}); }
+std::string DocumentWatch::report() const {
+    return spell(Report{broker_, in_force_, std::nullopt});
+}
 
 void DocumentWatch::told(const discovery::Reading &reading) {
-    if (reading.revision == std::exchange(heard_, reading.revision)) return;
+    if (reading.revision == std::exchange(heard_, reading.revision))
+        return;
     try {
         const auto operations = operations_in(reading);
-        if (operations) apply_(*operations, reading.revision);
+        if (operations)
+            apply_(*operations, reading.revision);
         wrong_ = wrong_ && !operations;
-        if (wrong_) return; // what is in force is still older
+        if (wrong_)
+            return; // what is in force is still older
         in_force_ = reading.revision;
         core::log("configuration: version {} is in force", in_force_);
     } catch (const config::Error &error) {
--- a/src/net/lists/list_server.cpp
+++ b/src/net/lists/list_server.cpp
@@ -46,8 +46,10 @@
 dist::Taken ListServer::take(Channel channel, const dist::Update &update) {
     Served &served = served_[static_cast<std::size_t>(channel)];
     const dist::Taken taken = served.log.take(update);
-    if (taken == dist::Taken::Older) return taken;
-    if (channel == Channel::Documents) reports_.published(update.revision, deadlines_.clock.now());
+    if (taken == dist::Taken::Older)
+        return taken;
+    if (channel == Channel::Documents)
+        reports_.published(update.revision, deadlines_.clock.now());
     served.delivery.published();
     deliver();
     return taken;
@@ -55,7 +57,8 @@
 
 void ListServer::take_report(const Report &report) {
     const Micros now = deadlines_.clock.now();
-    if (report.caller.empty()) return;
+    if (report.caller.empty())
+        return;
     if (report.subtree)
         reports_.report(report.caller, *report.subtree, now);
     else if (report.applied)
@@ -69,10 +72,12 @@
         dist::Delivery &delivery = served_[channel].delivery;
         for (const dist::Answer &answer : delivery.due(now))
             by_id_[channel].at(answer.caller)->answers.put(respond(answer));
-        if (const auto own = delivery.next(now)) next = std::min(*own, next.value_or(*own));
+        if (const auto own = delivery.next(now))
+            next = std::min(*own, next.value_or(*own));
     }
     next_.reset();
-    if (next) next_ = deadlines_.at(*next, [this] { deliver(); });
+    if (next)
+        next_ = deadlines_.at(*next, [this] { deliver(); });
 }
 
 asio::awaitable<void> ListServer::accept() {
@@ -81,7 +86,8 @@
         boost::system::error_code error;
         tcp::socket socket(io_);
         error = co_await accept_next(acceptor_, socket);
-        if (error == asio::error::operation_aborted) co_return;
+        if (error == asio::error::operation_aborted)
+            co_return;
         if (error) {
             core::log("list server: {}", error.message());
             rest.expires_after(std::chrono::microseconds(kRetryAccept));
@@ -105,8 +111,7 @@
 
 asio::awaitable<void> ListServer::serve(CallerAt caller) {
     std::string in;
-    while (co_await serve_call(*caller, in)) {
-    }
+    while (co_await serve_call(*caller, in)) {}
     for (std::size_t channel = 0; channel < kChannels; ++channel) {
         served_[channel].delivery.disconnect(caller->ids[channel]);
         by_id_[channel].erase(caller->ids[channel]);
@@ -120,8 +125,10 @@
     std::optional<Call> call;
     try {
         const auto request = co_await receive(caller, in);
-        if (!request) co_return false;
-        if (request->method == "GET") call = read_call(request->target);
+        if (!request)
+            co_return false;
+        if (request->method == "GET")
+            call = read_call(request->target);
     } catch (const std::runtime_error &) {
         ++figures_.malformed;
     }
@@ -154,10 +161,13 @@
             in.erase(0, request->wire_bytes);
             co_return request;
         }
-        if (in.size() > kMostCall) throw std::runtime_error("call too long");
+        if (in.size() > kMostCall)
+            throw std::runtime_error("call too long");
         const bool first = in.empty();
-        if (co_await read_more(caller.socket, in, kMostCall)) co_return std::nullopt;
-        if (first) limit = deadlines_.in(kWholeCallWithin, close);
+        if (co_await read_more(caller.socket, in, kMostCall))
+            co_return std::nullopt;
+        if (first)
+            limit = deadlines_.in(kWholeCallWithin, close);
     }
 }
 
@@ -175,7 +185,8 @@
 void ListServer::count_sent(std::size_t bytes) {
     figures_.sent_bytes += bytes;
     const Micros second = deadlines_.clock.now() / kSecond;
-    if (second != std::exchange(second_, second)) second_bytes_ = 0;
+    if (second != std::exchange(second_, second))
+        second_bytes_ = 0;
     second_bytes_ += bytes;
     figures_.peak_second_bytes = std::max(figures_.peak_second_bytes, second_bytes_);
 }
--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -17,45 +17,54 @@
 constexpr std::size_t kMostHead = 24; // bytes told of a PDU that never came whole
 constexpr std::size_t kConnectData = 1024, kIdentifyData = 4096;
 
-std::string_view text(std::string_view field) { return field.substr(0, field.find('\0')); }
+std::string_view text(std::string_view field) {
+    return field.substr(0, field.find('\0'));
+}
 
 } // namespace
 
 Status16 spell(const core::Outcome &outcome) {
-    if (outcome.kind == core::Outcome::Kind::Served) return {};
-    if (outcome.kind == core::Outcome::Kind::Failed) return {status::kInternal, 0, !outcome.repeat_safe};
+    if (outcome.kind == core::Outcome::Kind::Served)
+        return {};
+    if (outcome.kind == core::Outcome::Kind::Failed)
+        return {status::kInternal, 0, !outcome.repeat_safe};
     // Refused: nothing has run. The shortest delay that is no shorter than the advice; none without advice.
     Status16 refused{status::kNotReady, 0, false};
     if (outcome.retry_after > 0) {
         refused.retry_delay = 3;
         for (std::uint8_t n = 3; n > 0; --n)
-            if (kRetryDelays[n - 1] * kRetryDelayUnit >= outcome.retry_after) refused.retry_delay = n;
+            if (kRetryDelays[n - 1] * kRetryDelayUnit >= outcome.retry_after)
+                refused.retry_delay = n;
     }
     return refused;
 }
 
 class FrontSession : public Session {
 public:
-    FrontSession(Client &client, core::Desk desk, const Mapping &mapping, Controllers &controllers)
-        : Session(client, desk.deadlines, desk.memory), desk_(std::move(desk)), mapping_(mapping),
-          controllers_(controllers) {}
+    FrontSession(Client &client, core::FrontEndServices services, const Mapping &mapping,
+                 Controllers &controllers)
+        : Session(client, services.deadlines, services.memory), services_(std::move(services)),
+          mapping_(mapping), controllers_(controllers) {}
     ~FrontSession() override { leave(); }
 
     // Ends a command of this queue; false: there is none, or it has its answer.
     bool abort(std::uint16_t cid) {
         const auto it = commands_.find(cid);
-        if (it == commands_.end()) return false;
+        if (it == commands_.end())
+            return false;
         bool may_have_run = false;
-        if (it->second.taker) {
-            it->second.taker->client_left(it->second.id); // its outcome is of no use any more
+        if (it->second.request_handler) {
+            it->second.request_handler->client_disconnected(
+                it->second.id); // its outcome is of no use any more
             may_have_run = it->second.write;
         }
         complete(cid, {status::kAborted, 0, may_have_run});
         return true;
     }
-    void close() { client_.close(CloseReason::ClientLeft); } // its controller has ended
+    void close() { client_.close(CloseReason::ClientDisconnected); } // its controller has ended
     void other_queue_left() {
-        if (client_.notify) client_.notify();
+        if (client_.notify)
+            client_.notify();
     }
 
 private:
@@ -63,7 +72,7 @@
     struct Working { // a command that owes its completion
         bool write = false;
         Micros sent = 0;
-        core::Taker *taker = nullptr; // once it is a request
+        core::RequestHandler *request_handler = nullptr; // once it is a request
         RequestId id{};
         std::optional<std::uint16_t> tag; // while its data is awaited
         std::uint64_t serial = 0;
@@ -94,7 +103,8 @@
                 else
                     throw Malformed(Fatal::Sequence, "unexpected PDU", pdu->head);
                 since_ = deadlines_.clock.now();
-                if (keep_alive_ > 0) expect_life();
+                if (keep_alive_ > 0)
+                    expect_life();
             }
         } catch (const Malformed &error) { // what the host meant is not guessed: it is told, and let go
             core::log("nvme client {}: {}", client_.id, error.what());
@@ -105,7 +115,8 @@
     }
     std::size_t held() const override {
         std::size_t bytes = in_.size();
-        for (const auto &[tag, transfer] : transfers_) bytes += transfer.data.size();
+        for (const auto &[tag, transfer] : transfers_)
+            bytes += transfer.data.size();
         return bytes;
     }
     Micros may_idle() const override { return 0; } // a host with a controller has its keep-alives
@@ -122,8 +133,10 @@
     }
 
     void start(const Pdu &pdu) {
-        if (pdu.type != Type::ICReq) throw Malformed(Fatal::Sequence, "no ICReq first", pdu.head);
-        if (get<std::uint16_t>(pdu.head, 8) != 0) throw Malformed(Fatal::Unsupported, "PDU format", pdu.head);
+        if (pdu.type != Type::ICReq)
+            throw Malformed(Fatal::Sequence, "no ICReq first", pdu.head);
+        if (get<std::uint16_t>(pdu.head, 8) != 0)
+            throw Malformed(Fatal::Unsupported, "PDU format", pdu.head);
         if (24 % ((get<std::uint8_t>(pdu.head, 10) + 1) * 4) != 0)
             throw Malformed(Fatal::Unsupported, "data alignment", pdu.head);
         started_ = true;
@@ -141,22 +154,28 @@
         commands_[c.cid()] = {c.opcode() == op::kWrite, deadlines_.clock.now(), nullptr, {}, {}, ++serial_};
         const bool has_data =
             c.opcode() == op::kWrite || (c.opcode() == op::kFabrics && c.fabrics_type() == op::kConnect);
-        if (!has_data) return execute(c, {});
+        if (!has_data)
+            return execute(c, {});
         if (!pdu.data.empty() || c.sgl_type() == kSglInCapsule) {
-            if (pdu.data.size() != c.sgl_length()) return complete(c.cid(), {status::kInvalidField, 0, true});
+            if (pdu.data.size() != c.sgl_length())
+                return complete(c.cid(), {status::kInvalidField, 0, true});
             return execute(c, pdu.data);
         }
         const std::uint32_t length = c.sgl_length();
         if (c.opcode() != op::kWrite || length != mapping_.block_bytes)
             return complete(c.cid(), {status::kInvalidField, 0, true});
-        if (const Status16 refused = check(c); !refused.ok()) return complete(c.cid(), refused);
-        if (client_.refuses(deadlines_.clock.now())) return complete(c.cid(), {status::kNotReady, 0, false});
+        if (const Status16 refused = check(c); !refused.ok())
+            return complete(c.cid(), refused);
+        if (client_.refuses(deadlines_.clock.now()))
+            return complete(c.cid(), {status::kNotReady, 0, false});
         ask_for_data(c, length);
     }
 
     void ask_for_data(const Command &c, std::uint32_t length) {
-        if (transfers_.size() >= 0xffff) return complete(c.cid(), {status::kNotReady, 1, false});
-        do ++last_tag_; // no tag again while late data may still bear it
+        if (transfers_.size() >= 0xffff)
+            return complete(c.cid(), {status::kNotReady, 1, false});
+        do
+            ++last_tag_; // no tag again while late data may still bear it
         while (transfers_.count(last_tag_));
         Transfer &t = transfers_[last_tag_];
         t.cid = c.cid();
@@ -180,11 +199,14 @@
         if (offset != t.got || length != pdu.data.size() || length == 0 || length > t.length - t.got)
             throw Malformed(Fatal::OutOfRange, "data out of range", pdu.head);
         t.got += length;
-        if (t.wanted) t.data += pdu.data;
-        if (t.got < t.length) return;
+        if (t.wanted)
+            t.data += pdu.data;
+        if (t.got < t.length)
+            return;
         const Transfer whole = std::move(t);
         transfers_.erase(it);
-        if (!whole.wanted) return;
+        if (!whole.wanted)
+            return;
         commands_[cid].tag.reset();
         execute(whole.command, whole.data);
     }
@@ -192,17 +214,23 @@
     // ---- Commands ----
 
     void execute(const Command &c, const std::string &data) {
-        if (c.opcode() == op::kFabrics) return fabrics(c, data);
-        if (!controller_) return complete(c.cid(), {status::kSequence, 0, true});
+        if (c.opcode() == op::kFabrics)
+            return fabrics(c, data);
+        if (!controller_)
+            return complete(c.cid(), {status::kSequence, 0, true});
         if (queue_ > 0) {
             if (c.opcode() != op::kRead && c.opcode() != op::kWrite)
                 return complete(c.cid(), {status::kInvalidOpcode, 0, true});
-            if (const Status16 refused = check(c); !refused.ok()) return complete(c.cid(), refused);
+            if (const Status16 refused = check(c); !refused.ok())
+                return complete(c.cid(), refused);
             return ask(c, data);
         }
-        if (c.opcode() == op::kIdentify) return identify(c);
-        if (c.opcode() == op::kKeepAlive) return complete(c.cid(), {});
-        if (c.opcode() != op::kAbort) return complete(c.cid(), {status::kInvalidOpcode, 0, true});
+        if (c.opcode() == op::kIdentify)
+            return identify(c);
+        if (c.opcode() == op::kKeepAlive)
+            return complete(c.cid(), {});
+        if (c.opcode() != op::kAbort)
+            return complete(c.cid(), {status::kInvalidOpcode, 0, true});
         FrontSession *queue = controllers_.find(controller_, c.dword<std::uint16_t>(10));
         const auto cid = static_cast<std::uint16_t>(c.dword<std::uint32_t>(10) >> 16);
         const bool done = queue && queue != this && queue->abort(cid);
@@ -211,9 +239,12 @@
 
     Status16 check(const Command &c) const {
         const auto ns = mapping_.namespaces.find(c.nsid());
-        if (!controller_ || queue_ == 0) return {status::kSequence, 0, true};
-        if (ns == mapping_.namespaces.end()) return {status::kInvalidNamespace, 0, true};
-        if (c.dword<std::uint64_t>(10) >= ns->second.blocks) return {status::kLbaRange, 0, true};
+        if (!controller_ || queue_ == 0)
+            return {status::kSequence, 0, true};
+        if (ns == mapping_.namespaces.end())
+            return {status::kInvalidNamespace, 0, true};
+        if (c.dword<std::uint64_t>(10) >= ns->second.blocks)
+            return {status::kLbaRange, 0, true};
         if (c.dword<std::uint16_t>(12) != 0 || c.sgl_length() != mapping_.block_bytes)
             return {status::kInvalidField, 0, true}; // one block a command, as Identify says
         return {};
@@ -225,7 +256,7 @@
         Working &working = commands_[c.cid()];
         auto r = std::make_shared<core::Request>();
         r->piece = fmt::format("{:016x}", piece);
-        r->id = fmt::format("{:016x}", desk_.fresh());
+        r->id = fmt::format("{:016x}", services_.fresh());
         r->connection = client_.id;
         r->sent = working.sent;
         r->body = data;
@@ -240,16 +271,17 @@
         f.hosts = ns.hosts;
         r->wait = f.write ? ns.write_wait : ns.read_wait;
         // The broker's own repeats bear one key; a host's repeat is a new command with a key of its own.
-        if (desk_.settings.classes[f.cls].effect == Effect::Keyed)
-            r->repeat_key = fmt::format("{:016x}", desk_.fresh());
-        if (client_.use().closing) ++client_.asked_since;
+        if (services_.settings.classes[f.cls].idempotency == Idempotency::WithKey)
+            r->repeat_key = fmt::format("{:016x}", services_.fresh());
+        if (client_.use().closing)
+            ++client_.asked_since;
         r->refuse_at_once = client_.refuses(deadlines_.clock.now());
-        core::Taker &taker = desk_.taker(*r);
-        working.taker = &taker;
+        core::RequestHandler &request_handler = services_.request_handler(*r);
+        working.request_handler = &request_handler;
         const std::uint64_t serial = working.serial;
         const std::weak_ptr<Session> weak = weak_from_this();
         const RequestId id =
-            taker.submit(r, [this, weak, cid = c.cid(), serial](const core::Outcome &outcome) {
+            request_handler.submit(r, [this, weak, cid = c.cid(), serial](const core::Outcome &outcome) {
                 if (const auto self = weak.lock())
                     answer(cid, serial, outcome);
                 else if (outcome.stream)
@@ -260,7 +292,8 @@
     }
 
     void answer(std::uint16_t cid, std::uint64_t serial, const core::Outcome &outcome) {
-        if (!working(cid, serial)) return outcome.stream ? outcome.stream->abandon() : void();
+        if (!working(cid, serial))
+            return outcome.stream ? outcome.stream->abandon() : void();
         if (outcome.stream) { // only a value longer than any block is one: no part is passed on
             outcome.stream->abandon();
             return complete(cid, {status::kTransferError, 0, true});
@@ -285,14 +318,20 @@
     }
 
     void fabrics(const Command &c, const std::string &data) {
-        if (c.fabrics_type() == op::kConnect) return connect(c, data);
-        if (!controller_ || queue_ != 0) return complete(c.cid(), {status::kSequence, 0, true});
+        if (c.fabrics_type() == op::kConnect)
+            return connect(c, data);
+        if (!controller_ || queue_ != 0)
+            return complete(c.cid(), {status::kSequence, 0, true});
         const auto offset = c.dword<std::uint32_t>(11);
         if (c.fabrics_type() == op::kPropertyGet) {
-            if (offset == property::kCap) return complete(c.cid(), {}, kCap);
-            if (offset == property::kVersion) return complete(c.cid(), {}, kVersion);
-            if (offset == property::kConfig) return complete(c.cid(), {}, config_);
-            if (offset == property::kStatus) return complete(c.cid(), {}, config_ & 1); // ready once enabled
+            if (offset == property::kCap)
+                return complete(c.cid(), {}, kCap);
+            if (offset == property::kVersion)
+                return complete(c.cid(), {}, kVersion);
+            if (offset == property::kConfig)
+                return complete(c.cid(), {}, config_);
+            if (offset == property::kStatus)
+                return complete(c.cid(), {}, config_ & 1); // ready once enabled
         } else if (c.fabrics_type() == op::kPropertySet && offset == property::kConfig) {
             config_ = c.dword<std::uint32_t>(12);
             return complete(c.cid(), {});
@@ -302,8 +341,10 @@
 
     void connect(const Command &c, const std::string &data) {
         const Status16 wrong{status::kConnectInvalid, 0, true};
-        if (controller_) return complete(c.cid(), {status::kSequence, 0, true});
-        if (data.size() != kConnectData || c.dword<std::uint16_t>(10) != 0) return complete(c.cid(), wrong);
+        if (controller_)
+            return complete(c.cid(), {status::kSequence, 0, true});
+        if (data.size() != kConnectData || c.dword<std::uint16_t>(10) != 0)
+            return complete(c.cid(), wrong);
         if (text(std::string_view(data).substr(256, 256)) != mapping_.subsystem)
             return complete(c.cid(), wrong);
         queue_ = static_cast<std::uint16_t>(c.dword<std::uint32_t>(10) >> 16);
@@ -314,7 +355,8 @@
         } else if (const auto asked = get<std::uint16_t>(data, 16); controllers_.join(asked, queue_, *this)) {
             controller_ = asked;
         }
-        if (!controller_) return complete(c.cid(), wrong);
+        if (!controller_)
+            return complete(c.cid(), wrong);
         client_.mark_asked();
         client_.mark_lasting();
         complete(c.cid(), {}, controller_);
@@ -338,7 +380,8 @@
             set<std::uint8_t>(page, 77, pages);
             set<std::uint16_t>(page, 78, controller_);
             set<std::uint32_t>(page, 80, kVersion);
-            for (std::size_t n = 0; n < kRetryDelays.size(); ++n) set(page, 128 + 2 * n, kRetryDelays[n]);
+            for (std::size_t n = 0; n < kRetryDelays.size(); ++n)
+                set(page, 128 + 2 * n, kRetryDelays[n]);
             set<std::uint8_t>(page, 258, 3);    // aborts at once, counted from 0
             set<std::uint16_t>(page, 320, 10);  // keep-alive granularity, 100 ms units
             set<std::uint8_t>(page, 512, 0x66); // sizes of queue entries
@@ -355,12 +398,14 @@
             const auto ns = mapping_.namespaces.find(c.nsid());
             if (ns == mapping_.namespaces.end())
                 return complete(c.cid(), {status::kInvalidNamespace, 0, true});
-            for (const std::size_t at : {0, 8, 16}) set(page, at, ns->second.blocks);
+            for (const std::size_t at : {0, 8, 16})
+                set(page, at, ns->second.blocks);
             set<std::uint8_t>(page, 130, static_cast<std::uint8_t>(std::countr_zero(mapping_.block_bytes)));
         } else if (which == 0x02) {
             std::size_t at = 0;
             for (const auto &[nsid, ns] : mapping_.namespaces)
-                if (nsid > c.nsid() && at < kIdentifyData) set(page, at, nsid), at += 4;
+                if (nsid > c.nsid() && at < kIdentifyData)
+                    set(page, at, nsid), at += 4;
         } else {
             return complete(c.cid(), {status::kInvalidField, 0, true});
         }
@@ -373,7 +418,8 @@
     // The one completion of a command.
     void complete(std::uint16_t cid, Status16 status, std::uint64_t result = 0) {
         const auto it = commands_.find(cid);
-        if (it == commands_.end()) return;
+        if (it == commands_.end())
+            return;
         if (it->second.tag) { // its data may be half here: the rest is discarded as it comes
             Transfer &t = transfers_.at(*it->second.tag);
             t.wanted = false;
@@ -395,7 +441,8 @@
 
     void left() override {
         for (const auto &[cid, working] : commands_)
-            if (working.taker) working.taker->client_left(working.id);
+            if (working.request_handler)
+                working.request_handler->client_disconnected(working.id);
         commands_.clear();
         transfers_.clear();
         keep_alive_ = 0;
@@ -405,18 +452,21 @@
     // A controller ends with its admin queue, and its other queues may have open commands.
     bool may_end() const override { return queue_ != 0 || !controllers_.has_io_queues(controller_); }
     void withdraw() override {
-        std::vector<std::pair<core::Taker *, RequestId>> open;
+        std::vector<std::pair<core::RequestHandler *, RequestId>> open;
         std::vector<std::uint16_t> without_data;
         for (const auto &[cid, working] : commands_)
-            if (working.taker)
-                open.emplace_back(working.taker, working.id);
+            if (working.request_handler)
+                open.emplace_back(working.request_handler, working.id);
             else
                 without_data.push_back(cid);
-        for (const auto &[taker, id] : open) taker->withdraw(id);
-        for (const std::uint16_t cid : without_data) complete(cid, {status::kNotReady, 0, false});
+        for (const auto &[request_handler, id] : open)
+            request_handler->withdraw(id);
+        for (const std::uint16_t cid : without_data)
+            complete(cid, {status::kNotReady, 0, false});
     }
     void leave() {
-        if (controller_) controllers_.leave(std::exchange(controller_, 0), queue_, *this);
+        if (controller_)
+            controllers_.leave(std::exchange(controller_, 0), queue_, *this);
     }
     void expect_life() {
         life_ = deadlines_.in(keep_alive_, [this] {
@@ -425,7 +475,7 @@
         });
     }
 
-    core::Desk desk_;
+    core::FrontEndServices services_;
     const Mapping &mapping_;
     Controllers &controllers_;
     std::map<std::uint16_t, Working> commands_;
@@ -439,7 +489,8 @@
 };
 
 std::uint16_t Controllers::make(FrontSession &admin) {
-    do ++last_;
+    do
+        ++last_;
     while (last_ == 0 || last_ >= 0xfff0 || queues_.count(last_));
     queues_[last_][0] = &admin;
     return last_;
@@ -450,9 +501,11 @@
 }
 void Controllers::leave(std::uint16_t controller, std::uint16_t queue, const FrontSession &session) {
     const auto it = queues_.find(controller);
-    if (it == queues_.end()) return;
+    if (it == queues_.end())
+        return;
     const auto at = it->second.find(queue);
-    if (at == it->second.end() || at->second != &session) return;
+    if (at == it->second.end() || at->second != &session)
+        return;
     it->second.erase(at);
     if (queue != 0) {
         if (const auto admin = it->second.find(0); admin != it->second.end())
@@ -461,7 +514,8 @@
     }
     const auto others = std::move(it->second); // the controller ends with its admin queue
     queues_.erase(it);
-    for (const auto &[number, other] : others) other->close();
+    for (const auto &[number, other] : others)
+        other->close();
 }
 bool Controllers::has_io_queues(std::uint16_t controller) const {
     const auto it = queues_.find(controller);
@@ -469,14 +523,15 @@
 }
 FrontSession *Controllers::find(std::uint16_t controller, std::uint16_t queue) const {
     const auto it = queues_.find(controller);
-    if (it == queues_.end()) return nullptr;
+    if (it == queues_.end())
+        return nullptr;
     const auto at = it->second.find(queue);
     return at == it->second.end() ? nullptr : at->second;
 }
 
-asio::awaitable<void> serve(Client &client, core::Desk desk, const Mapping &mapping,
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, const Mapping &mapping,
                             Controllers &controllers) {
-    const auto session = std::make_shared<FrontSession>(client, std::move(desk), mapping, controllers);
+    const auto session = std::make_shared<FrontSession>(client, std::move(services), mapping, controllers);
     co_await session->run();
 }
 
--- a/src/net/nvme/front.hpp
+++ b/src/net/nvme/front.hpp
@@ -1,7 +1,7 @@
 // The front for hosts that speak NVMe/TCP: Reads and Writes become requests, outcomes become completions.
 #pragma once
 
-#include "core/planner.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/clients.hpp"
 #include "net/nvme/mapping.hpp"
 #include "net/nvme/pdu.hpp"
@@ -28,7 +28,7 @@
 // Identify Controller's three delays, in units of 100 ms, shortest first.
 inline constexpr std::array<std::uint16_t, 3> kRetryDelays{1, 2, 5};
 
-asio::awaitable<void> serve(Client &client, core::Desk desk, const Mapping &mapping,
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, const Mapping &mapping,
                             Controllers &controllers);
 
 } // namespace marblewood::net::nvme
--- a/src/net/nvme/node_port.cpp
+++ b/src/net/nvme/node_port.cpp
@@ -27,10 +27,11 @@
 } // namespace
 
 Status read_status(const Status16 &s) {
-    if (s.ok()) return Status::Ok;
+    if (s.ok())
+        return Status::Ok;
     if (s.code == status::kNotReady || s.code == status::kPathInaccessible ||
         s.code == status::kPathTransition)
-        return Status::Full; // turned away before it ran
+        return Status::Rejected; // turned away before it ran
     return Status::Error;
 }
 
@@ -55,8 +56,10 @@
 
     // An identifier that no command bears, a given-up one included.
     std::optional<std::uint16_t> take_id() {
-        if (out.size() >= kEntries - 1) return std::nullopt;
-        do last_id_ = static_cast<std::uint16_t>((last_id_ + 1) % 0xfff0);
+        if (out.size() >= kEntries - 1)
+            return std::nullopt;
+        do
+            last_id_ = static_cast<std::uint16_t>((last_id_ + 1) % 0xfff0);
         while (out.count(last_id_));
         return last_id_;
     }
@@ -81,16 +84,19 @@
 
     // Puts Up into the mail once the association stands, Down if it does not come to.
     void want(Mail &mail) {
-        if (admin_ && up_) return mail.put(Up{});
+        if (admin_ && up_)
+            return mail.put(Up{});
         waiting.insert(&mail);
-        if (!connecting_) asio::co_spawn(executor_, establish(shared_from_this()), asio::detached);
+        if (!connecting_)
+            asio::co_spawn(executor_, establish(shared_from_this()), asio::detached);
         connecting_ = true;
     }
 
     std::optional<std::uint16_t> issue(Mail &mail, Command command, std::string body,
                                        std::function<bool()> gate, std::function<void()> written) {
         const auto cid = io_->take_id();
-        if (!cid) return std::nullopt;
+        if (!cid)
+            return std::nullopt;
         set(command.bytes, 2, *cid);
         Queue::Out &out = io_->out[*cid];
         out.mail = &mail;
@@ -104,9 +110,11 @@
     // The attempt's command will have no more listener. It is aborted if any of it went out, and bears its
     // identifier until the node completes it; data that comes for it meanwhile is discarded.
     void give_up(std::uint16_t cid) {
-        if (!up_) return;
+        if (!up_)
+            return;
         const auto it = io_->out.find(cid);
-        if (it == io_->out.end()) return;
+        if (it == io_->out.end())
+            return;
         std::erase_if(io_->chunks, [&](const Queue::Chunk &c) { return c.cid == cid; });
         if (!it->second.begun) {
             io_->out.erase(it);
@@ -123,7 +131,8 @@
 
     bool admin_command(Command command, Mail *mail) {
         const auto cid = admin_ ? admin_->take_id() : std::nullopt;
-        if (!cid) return false;
+        if (!cid)
+            return false;
         set(command.bytes, 2, *cid);
         admin_->out[*cid].mail = mail;
         put(admin_, {command.capsule(), *cid, true, {}});
@@ -134,41 +143,50 @@
         for (const auto &queue : {admin_, io_})
             if (queue)
                 for (auto &[cid, out] : queue->out)
-                    if (out.mail == &mail) out.mail = nullptr;
+                    if (out.mail == &mail)
+                        out.mail = nullptr;
     }
     Queue::Out *find(std::uint16_t cid) {
-        if (!io_) return nullptr;
+        if (!io_)
+            return nullptr;
         const auto it = io_->out.find(cid);
         return it == io_->out.end() ? nullptr : &it->second;
     }
     void finished(std::uint16_t cid) {
-        if (io_) io_->out.erase(cid);
+        if (io_)
+            io_->out.erase(cid);
     }
     bool idle() const { return !io_ || io_->out.empty(); }
 
     // Ends the connections. What was out is told so; whether it may have run, its Out says.
     void drop(const char *why) {
-        if (!admin_) return;
-        if (why) core::log("nvme node {}:{}: {}", address.address().to_string(), address.port(), why);
+        if (!admin_)
+            return;
+        if (why)
+            core::log("nvme node {}:{}: {}", address.address().to_string(), address.port(), why);
         up_ = false;
         keep_alive_.reset();
         std::vector<Mail *> told(waiting.begin(), waiting.end());
         waiting.clear();
         boost::system::error_code ignored;
         for (const auto &queue : {admin_, io_}) {
-            if (!queue) continue;
+            if (!queue)
+                continue;
             queue->chunks.clear();
             queue->socket.close(ignored);
             for (auto &[cid, out] : queue->out)
-                if (out.mail) told.push_back(out.mail);
+                if (out.mail)
+                    told.push_back(out.mail);
         }
         last_io_ = io_; // run() still looks up what of its command was written
         admin_ = io_ = nullptr;
-        for (Mail *mail : told) mail->put(Down{});
+        for (Mail *mail : told)
+            mail->put(Down{});
     }
     bool was_whole(std::uint16_t cid) const {
         const auto &queue = io_ ? io_ : last_io_;
-        if (!queue) return false;
+        if (!queue)
+            return false;
         const auto it = queue->out.find(cid);
         return it != queue->out.end() && it->second.whole;
     }
@@ -193,22 +211,27 @@
             queue->chunks.pop_front();
             auto out = queue->out.find(chunk.cid);
             if (chunk.gate && !chunk.gate()) { // too late, or drained meanwhile: not a byte goes out
-                if (out == queue->out.end()) continue;
+                if (out == queue->out.end())
+                    continue;
                 Mail *mail = out->second.mail;
                 queue->out.erase(out);
-                if (mail) mail->put(Stop{});
+                if (mail)
+                    mail->put(Stop{});
                 continue;
             }
-            if (out != queue->out.end()) out->second.begun = true;
+            if (out != queue->out.end())
+                out->second.begun = true;
             boost::system::error_code error;
             const std::size_t written = co_await write_all(queue->socket, chunk.bytes, error);
             out = queue->out.find(chunk.cid);
             if (out != queue->out.end() && chunk.last && written == chunk.bytes.size()) {
                 out->second.whole = true;
-                if (out->second.written) out->second.written();
+                if (out->second.written)
+                    out->second.written();
             }
             if (error) {
-                if (queue == self->admin_ || queue == self->io_) self->drop(error.message().c_str());
+                if (queue == self->admin_ || queue == self->io_)
+                    self->drop(error.message().c_str());
                 break;
             }
         }
@@ -218,13 +241,16 @@
     asio::awaitable<std::optional<Pdu>> receive(QueuePtr queue) {
         core::Deadlines::Entry limit; // a PDU that has begun and does not go on holds up all behind it
         for (;;) {
-            if (auto pdu = take(queue->in)) co_return pdu;
+            if (auto pdu = take(queue->in))
+                co_return pdu;
             if (!queue->in.empty())
                 limit = deadlines_.in(kGap, [queue] {
                     boost::system::error_code ignored;
-                    if (queue->socket.available(ignored) == 0) queue->socket.close(ignored);
+                    if (queue->socket.available(ignored) == 0)
+                        queue->socket.close(ignored);
                 });
-            if (co_await read_more(queue->socket, queue->in)) co_return std::nullopt;
+            if (co_await read_more(queue->socket, queue->in))
+                co_return std::nullopt;
         }
     }
 
@@ -236,7 +262,8 @@
         co_await write_all(queue->socket, bytes, error);
         while (!error) {
             const std::optional<Pdu> pdu = co_await receive(queue);
-            if (!pdu) break;
+            if (!pdu)
+                break;
             if (pdu->type == Type::C2HData && read)
                 *read += pdu->data;
             else if (pdu->type == Type::Response)
@@ -251,12 +278,14 @@
     asio::awaitable<std::optional<std::uint16_t>> connect(QueuePtr queue, std::uint16_t number,
                                                           std::uint16_t controller, Micros until) {
         const boost::system::error_code error = co_await dial(queue->socket, address, until, deadlines_);
-        if (error) co_return std::nullopt;
+        if (error)
+            co_return std::nullopt;
         const std::string hello = ic_req();
         boost::system::error_code lost;
         co_await write_all(queue->socket, hello, lost);
         const std::optional<Pdu> answer = co_await receive(queue);
-        if (!answer || answer->type != Type::ICResp) co_return std::nullopt;
+        if (!answer || answer->type != Type::ICResp)
+            co_return std::nullopt;
         most_data_ = std::max<std::uint32_t>(get<std::uint32_t>(answer->head, 12), 4096);
         Command command = Command::make(op::kFabrics, 0xfff0);
         set(command.bytes, 4, op::kConnect);
@@ -269,32 +298,37 @@
         data.replace(256, mapping_.subsystem.size(), mapping_.subsystem);
         data.replace(512, 33, "nqn.2026-12.net.hanbit:marblewood");
         const auto done = co_await ask(queue, command, data, nullptr);
-        if (!done || !done->status.ok()) co_return std::nullopt;
+        if (!done || !done->status.ok())
+            co_return std::nullopt;
         co_return static_cast<std::uint16_t>(done->result);
     }
 
     asio::awaitable<bool> bring_up(Micros until) {
         const QueuePtr admin = admin_, io = io_;
         const auto controller = co_await connect(admin, 0, 0xffff, until);
-        if (!controller) co_return false;
+        if (!controller)
+            co_return false;
         Command enable = Command::make(op::kFabrics, 0xfff0);
         set(enable.bytes, 4, op::kPropertySet);
         enable.set_dword(11, property::kConfig);
         enable.set_dword(12, 0x00460001u); // entry sizes, enabled
         auto done = co_await ask(admin, enable, {}, nullptr);
-        if (!done || !done->status.ok()) co_return false;
+        if (!done || !done->status.ok())
+            co_return false;
         Command look = Command::make(op::kFabrics, 0xfff0);
         set(look.bytes, 4, op::kPropertyGet);
         look.set_dword(11, property::kStatus);
         do {
             done = co_await ask(admin, look, {}, nullptr);
-            if (!done || !done->status.ok() || (done->result & 2)) co_return false;
+            if (!done || !done->status.ok() || (done->result & 2))
+                co_return false;
         } while (!(done->result & 1));
         std::string page;
         Command identify = Command::make(op::kIdentify, 0xfff0, mapping_.nsid);
         identify.describe_data(4096, false);
         done = co_await ask(admin, identify, {}, &page);
-        if (!done || !done->status.ok() || page.size() != 4096) co_return false;
+        if (!done || !done->status.ok() || page.size() != 4096)
+            co_return false;
         const auto format = get<std::uint8_t>(page, 26);
         const std::size_t at = 128 + 4 * (format & 0xf);
         if (get<std::uint16_t>(page, at) != kMetadata || !(format & 0x10) ||
@@ -333,13 +367,16 @@
         asio::co_spawn(executor_, listen(self, io_), asio::detached);
         keep_alive();
         const std::set<Mail *> told = std::exchange(waiting, {});
-        for (Mail *mail : told) mail->put(Up{});
+        for (Mail *mail : told)
+            mail->put(Up{});
     }
 
     void keep_alive() {
         keep_alive_ = deadlines_.in(kKeepAlive, [this] {
-            if (!admin_) return;
-            if (!admin_->out.empty()) return drop("no answer to a keep-alive");
+            if (!admin_)
+                return;
+            if (!admin_->out.empty())
+                return drop("no answer to a keep-alive");
             admin_command(Command::make(op::kKeepAlive, 0), nullptr);
             keep_alive();
         });
@@ -351,7 +388,8 @@
         try {
             for (;;) {
                 const std::optional<Pdu> pdu = co_await receive(queue);
-                if (!pdu) break;
+                if (!pdu)
+                    break;
                 if (pdu->type == Type::C2HTermReq) {
                     why = "it ended the connection";
                     break;
@@ -367,16 +405,19 @@
             queue->socket.non_blocking(true, ignored);
             queue->socket.write_some(asio::buffer(goodbye), ignored);
         }
-        if (queue == admin_ || queue == io_) drop(why);
+        if (queue == admin_ || queue == io_)
+            drop(why);
     }
 
     void heed(const QueuePtr &queue, const Pdu &pdu) {
         const auto wrong = [&](Fatal fatal, const char *what) { return Malformed(fatal, what, pdu.head); };
-        if (pdu.type == Type::Response) return complete(queue, Completion::read(pdu));
+        if (pdu.type == Type::Response)
+            return complete(queue, Completion::read(pdu));
         if (queue != io_ || (pdu.type != Type::C2HData && pdu.type != Type::R2T))
             throw wrong(Fatal::Sequence, "unexpected PDU");
         const auto it = queue->out.find(get<std::uint16_t>(pdu.head, 8));
-        if (it == queue->out.end()) throw wrong(Fatal::HeaderField, "no such command");
+        if (it == queue->out.end())
+            throw wrong(Fatal::HeaderField, "no such command");
         Queue::Out &out = it->second;
         const auto offset = get<std::uint32_t>(pdu.head, 12), length = get<std::uint32_t>(pdu.head, 16);
         const std::size_t block = block_bytes_ + kMetadata;
@@ -384,7 +425,8 @@
             if (length != pdu.data.size() || offset > block || length > block - offset)
                 throw wrong(Fatal::OutOfRange, "data out of range");
             if (out.mail) { // else given up: late data is discarded
-                if (offset != out.read.size()) throw wrong(Fatal::OutOfRange, "data out of order");
+                if (offset != out.read.size())
+                    throw wrong(Fatal::OutOfRange, "data out of order");
                 out.read += pdu.data;
             }
             if (pdu.flags & kSuccess) {
@@ -394,7 +436,8 @@
             }
             return;
         }
-        if (!out.mail) return; // aborted: its completion will come without the data
+        if (!out.mail)
+            return; // aborted: its completion will come without the data
         if (offset > out.body.size() || length > out.body.size() - offset || length == 0)
             throw wrong(Fatal::OutOfRange, "R2T out of range");
         const auto tag = get<std::uint16_t>(pdu.head, 10);
@@ -412,10 +455,12 @@
 
     void complete(const QueuePtr &queue, const Completion &done) {
         const auto it = queue->out.find(done.cid);
-        if (it == queue->out.end()) throw Malformed(Fatal::HeaderField, "completion of no command");
+        if (it == queue->out.end())
+            throw Malformed(Fatal::HeaderField, "completion of no command");
         if (it->second.mail && queue == io_)
             return it->second.mail->put(done); // run() takes its data and ends it
-        if (it->second.mail) it->second.mail->put(done);
+        if (it->second.mail)
+            it->second.mail->put(done);
         queue->out.erase(it);
     }
 
@@ -438,15 +483,18 @@
 
 void NodePort::place(NodeId node, const tcp::endpoint &address, const NodeMapping &mapping) {
     auto &at = associations_[node];
-    if (at && at->address == address) return;
-    if (at) at->drop("it has moved");
+    if (at && at->address == address)
+        return;
+    if (at)
+        at->drop("it has moved");
     at = std::make_shared<Association>(executor_, deadlines_, budget_, address, mapping, block_bytes_,
                                        connect_timeout_);
 }
 
 void NodePort::forget(NodeId node) {
     const auto at = associations_.find(node);
-    if (at == associations_.end()) return;
+    if (at == associations_.end())
+        return;
     at->second->drop("it is gone");
     associations_.erase(at);
 }
@@ -496,7 +544,7 @@
         [attempt] { attempt->written(); });
     if (!cid) {
         attempt->on_stop = nullptr;
-        result.status = Status::Moot; // more out than the queue holds
+        result.status = Status::Superseded; // more out than the queue holds
         co_return result;
     }
     event = co_await mail.take();
@@ -519,7 +567,7 @@
         node->finished(*cid);
     } else if (std::holds_alternative<Stop>(event)) {
         const bool gated = !node->find(*cid) && !attempt->stopped;
-        result.status = gated ? Status::Moot : attempt->broken(node->was_whole(*cid));
+        result.status = gated ? Status::Superseded : attempt->broken(node->was_whole(*cid));
         node->give_up(*cid);
     } else {
         result.status = attempt->broken(node->was_whole(*cid));
@@ -532,7 +580,8 @@
     core::ProbeResult result;
     result.status = Status::ConnectFailed;
     const auto at = associations_.find(id);
-    if (at == associations_.end()) co_return result;
+    if (at == associations_.end())
+        co_return result;
     const std::shared_ptr<Association> node = at->second;
     Mail mail(executor_);
     const auto limit = deadlines_.in(2 * connect_timeout_, [&mail] { mail.put(Stop{}); });
--- a/src/net/nvme/pdu.cpp
+++ b/src/net/nvme/pdu.cpp
@@ -31,7 +31,8 @@
 } // namespace
 
 std::optional<Pdu> take(std::string &in) {
-    if (in.size() < kCommon) return std::nullopt;
+    if (in.size() < kCommon)
+        return std::nullopt;
     const auto type = static_cast<Type>(in[0]);
     const std::size_t head = head_size(type), told_head = get<std::uint8_t>(in, 2),
                       offset = get<std::uint8_t>(in, 3), size = get<std::uint32_t>(in, 4);
@@ -39,14 +40,21 @@
         return Malformed(Fatal::HeaderField, what,
                          in.substr(0, std::min(in.size(), std::max(kCommon, head))));
     };
-    if (head == 0) throw wrong("unknown type of PDU");
-    if (told_head != head) throw wrong("header length");
-    if (get<std::uint8_t>(in, 1) & 0x03) throw wrong("digests were not agreed");
-    if (size < head || size > head + kMostData + 128) throw wrong("PDU length");
-    if (size > head && !carries_data(type)) throw wrong("PDU carries data");
+    if (head == 0)
+        throw wrong("unknown type of PDU");
+    if (told_head != head)
+        throw wrong("header length");
+    if (get<std::uint8_t>(in, 1) & 0x03)
+        throw wrong("digests were not agreed");
+    if (size < head || size > head + kMostData + 128)
+        throw wrong("PDU length");
+    if (size > head && !carries_data(type))
+        throw wrong("PDU carries data");
     const std::size_t data_at = size > head && offset >= head ? offset : head;
-    if (data_at > size) throw wrong("data offset");
-    if (in.size() < size) return std::nullopt;
+    if (data_at > size)
+        throw wrong("data offset");
+    if (in.size() < size)
+        return std::nullopt;
     Pdu pdu{type, get<std::uint8_t>(in, 1), in.substr(0, head), in.substr(data_at, size - data_at)};
     in.erase(0, size);
     return pdu;
@@ -57,12 +65,15 @@
     set<std::uint8_t>(out, 0, static_cast<std::uint8_t>(type));
     set<std::uint8_t>(out, 1, flags);
     set<std::uint8_t>(out, 2, static_cast<std::uint8_t>(head));
-    if (!data.empty()) set<std::uint8_t>(out, 3, static_cast<std::uint8_t>(head));
+    if (!data.empty())
+        set<std::uint8_t>(out, 3, static_cast<std::uint8_t>(head));
     set<std::uint32_t>(out, 4, static_cast<std::uint32_t>(head + data.size()));
     return out.append(data);
 }
 
-std::string ic_req() { return pdu(Type::ICReq, 128); }
+std::string ic_req() {
+    return pdu(Type::ICReq, 128);
+}
 std::string ic_resp(std::uint32_t most_h2c_data) {
     std::string out = pdu(Type::ICResp, 128);
     set(out, 12, most_h2c_data);
--- a/src/net/otlp/exporter.cpp
+++ b/src/net/otlp/exporter.cpp
@@ -25,7 +25,9 @@
     x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
     return x ^ (x >> 31);
 }
-std::string hex(std::uint64_t id) { return fmt::format("{:016x}", id); }
+std::string hex(std::uint64_t id) {
+    return fmt::format("{:016x}", id);
+}
 std::string nanos(Micros at) {
     return fmt::format("{}", at * 1000);
 } // 64-bit numbers are texts in OTLP's JSON
@@ -43,10 +45,12 @@
     Endpoint e;
     e.host = config::need_text(otlp, "endpoint");
     const auto at = endpoint<tcp::endpoint>(e.host);
-    if (!at) throw config::Error("field 'otlp.endpoint' is not an address and port");
+    if (!at)
+        throw config::Error("field 'otlp.endpoint' is not an address and port");
     e.address = *at;
     e.interval = config::time_or(otlp, "interval_ms", e.interval);
-    if (e.interval < 10'000) throw config::Error("field 'otlp.interval_ms' is under 10");
+    if (e.interval < 10'000)
+        throw config::Error("field 'otlp.interval_ms' is under 10");
     return e;
 }
 
@@ -121,7 +125,8 @@
                 spans_.pop_front();
             }
             const bool sent = co_await post("/v1/traces", traces(batch));
-            if (!sent) dropped_ += batch.size();
+            if (!sent)
+                dropped_ += batch.size();
         }
         co_await post("/v1/metrics", metrics());
     }
@@ -147,7 +152,8 @@
             socket_.close(error);
         else
             answer = co_await http::exchange(socket_, request, deadlines_.clock.now() + kCall, deadlines_);
-        if (answer && answer->status >= 200 && answer->status < 300) co_return true;
+        if (answer && answer->status >= 200 && answer->status < 300)
+            co_return true;
         Micros pause = wait;
         if (answer) {
             const int s = answer->status;
@@ -156,7 +162,8 @@
                 co_return false;
             }
             const long told = answer->retry_after ? std::atol(answer->retry_after->c_str()) : 0;
-            if (told > 0) pause = std::min<Micros>(told, 60) * 1'000'000;
+            if (told > 0)
+                pause = std::min<Micros>(told, 60) * 1'000'000;
         }
         co_await rest(pause);
         wait = std::min(2 * wait, kLastRetry);
@@ -178,13 +185,15 @@
         Json::Value row;
         row["traceId"] = hex(s.trace[0]) + hex(s.trace[1]);
         row["spanId"] = hex(s.id);
-        if (s.parent) row["parentSpanId"] = hex(s.parent);
+        if (s.parent)
+            row["parentSpanId"] = hex(s.parent);
         row["name"] = s.name;
         row["kind"] = s.parent ? 3 : 2; // client, server
         row["startTimeUnixNano"] = nanos(s.from);
         row["endTimeUnixNano"] = nanos(s.to);
         row["attributes"] = s.attributes;
-        if (s.error) row["status"]["code"] = 2;
+        if (s.error)
+            row["status"]["code"] = 2;
         rows.append(std::move(row));
     }
     Json::Value body;
@@ -219,8 +228,10 @@
     point(row);
     row["count"] = std::to_string(all);
     row["sum"] = latencies_;
-    for (const double bound : kBounds) row["explicitBounds"].append(bound);
-    for (const std::uint64_t n : buckets_) row["bucketCounts"].append(std::to_string(n));
+    for (const double bound : kBounds)
+        row["explicitBounds"].append(bound);
+    for (const std::uint64_t n : buckets_)
+        row["bucketCounts"].append(std::to_string(n));
     latency["histogram"]["dataPoints"].append(row);
     latency["histogram"]["aggregationTemporality"] = 2; // cumulative
     dropped["name"] = "marblewood.spans.dropped";
--- a/src/net/otlp/exporter.hpp
+++ b/src/net/otlp/exporter.hpp
@@ -3,7 +3,7 @@
 // request ever waits.
 #pragma once
 
-#include "core/planner.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/http.hpp"
 
 #include <array>
@@ -22,7 +22,7 @@
 public:
     Exporter(asio::io_context &io, core::Deadlines &deadlines, Endpoint to, std::string name,
              const Settings &settings, const core::Figures &figures, std::uint64_t seed);
-    // One for each planner, as request numbers are a planner's own.
+    // One for each dispatcher, as request numbers are a dispatcher's own.
     core::Observer &observer();
 
 private:
--- a/src/net/peers/peers.hpp
+++ b/src/net/peers/peers.hpp
@@ -38,7 +38,8 @@
     int descriptor() { return socket_.native_handle(); }
 
     void tell(std::optional<int> peer, const std::string &data) {
-        if (data.size() > kMost) return core::log("peers: a message of {} bytes is not sent", data.size());
+        if (data.size() > kMost)
+            return core::log("peers: a message of {} bytes is not sent", data.size());
         boost::system::error_code lost; // datagrams may be lost anywhere
         const auto send = [&](const udp::endpoint &to) {
             socket_.send_to(asio::buffer(data), to, 0, lost);
@@ -46,10 +47,12 @@
         };
         if (peer && static_cast<std::size_t>(*peer) < peers_.size())
             send(peers_[static_cast<std::size_t>(*peer)]);
-        if (!peer && all_) send(*all_);
+        if (!peer && all_)
+            send(*all_);
         if (!peer && !all_) // each by itself
             for (const udp::endpoint &to : peers_)
-                if (to != socket_.local_endpoint(lost)) send(to);
+                if (to != socket_.local_endpoint(lost))
+                    send(to);
     }
 
 private:
@@ -60,10 +63,13 @@
             boost::system::error_code error;
             const std::size_t got = co_await socket_.async_receive_from(
                 asio::buffer(data), from, asio::redirect_error(asio::use_awaitable, error));
-            if (error == asio::error::operation_aborted) co_return;
-            if (error || got > kMost) continue; // an earlier datagram's refusal, or none of ours
+            if (error == asio::error::operation_aborted)
+                co_return;
+            if (error || got > kMost)
+                continue; // an earlier datagram's refusal, or none of ours
             for (std::size_t n = 0; n < peers_.size(); ++n)
-                if (peers_[n] == from) told_({static_cast<int>(n), std::string(data, got)});
+                if (peers_[n] == from)
+                    told_({static_cast<int>(n), std::string(data, got)});
         }
     }
 
--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -25,7 +25,8 @@
     core::Deadlines::Entry expect_more(core::Deadlines &deadlines, Micros within) {
         return deadlines.in(within, [this] {
             boost::system::error_code ignored;
-            if (socket.available(ignored) == 0) close();
+            if (socket.available(ignored) == 0)
+                close();
         });
     }
     // A node may have closed it since its last use. What is written to such a connection may be lost after it
@@ -46,16 +47,20 @@
             // more behind it, does so some milliseconds later, and it is seen only once that has come.
             auto wire = std::move(at->second.front());
             at->second.pop_front();
-            if (at->second.empty()) idle_.erase(at);
+            if (at->second.empty())
+                idle_.erase(at);
             wire->idle_end.reset();
-            if (wire->fresh()) return wire;
+            if (wire->fresh())
+                return wire;
         }
         return nullptr;
     }
     // A new one, not connected yet; null where the budget is spent, after an idle one was given up for it.
     std::shared_ptr<Wire> open() {
-        if (budget_.nodes_full()) drop_one();
-        if (budget_.nodes_full()) return nullptr;
+        if (budget_.nodes_full())
+            drop_one();
+        if (budget_.nodes_full())
+            return nullptr;
         auto wire = std::make_shared<Wire>(executor_);
         wire->lease = budget_.node();
         return wire;
@@ -64,9 +69,11 @@
         wire->returned = deadlines_.clock.now();
         wire->idle_end = deadlines_.in(keep_, [this, to, raw = wire.get()] {
             const auto at = idle_.find(to);
-            if (at == idle_.end()) return;
+            if (at == idle_.end())
+                return;
             at->second.remove_if([raw](const auto &w) { return w.get() == raw; });
-            if (at->second.empty()) idle_.erase(at);
+            if (at->second.empty())
+                idle_.erase(at);
         });
         idle_[to].push_back(std::move(wire));
     }
@@ -74,10 +81,12 @@
 
 private:
     void drop_one() {
-        if (idle_.empty()) return;
+        if (idle_.empty())
+            return;
         const auto at = idle_.begin();
         at->second.pop_front();
-        if (at->second.empty()) idle_.erase(at);
+        if (at->second.empty())
+            idle_.erase(at);
     }
 
     asio::any_io_executor executor_;
--- a/src/net/resp/front.cpp
+++ b/src/net/resp/front.cpp
@@ -25,16 +25,19 @@
         else
             return std::from_chars(text.data(), last, value, base);
     }();
-    if (text.empty() || error != std::errc() || end != last) throw Malformed(fmt::format("invalid {}", name));
+    if (text.empty() || error != std::errc() || end != last)
+        throw Malformed(fmt::format("invalid {}", name));
     return value;
 }
 std::uint64_t hex16(std::string_view text, const char *name) {
-    if (text.size() != 16) throw Malformed(fmt::format("invalid {}", name));
+    if (text.size() != 16)
+        throw Malformed(fmt::format("invalid {}", name));
     return number<std::uint64_t>(text, name, 16);
 }
 template <typename Rows> int named(const Rows &rows, std::string_view name, const char *what) {
     for (std::size_t n = 0; n < rows.size(); ++n)
-        if (rows[n].name == name) return static_cast<int>(n);
+        if (rows[n].name == name)
+            return static_cast<int>(n);
     throw Malformed(fmt::format("unknown {}", what));
 }
 
@@ -55,21 +58,22 @@
 
 std::string upper(std::string text) {
     for (char &c : text)
-        if (c >= 'a' && c <= 'z') c = static_cast<char>(c - 'a' + 'A');
+        if (c >= 'a' && c <= 'z')
+            c = static_cast<char>(c - 'a' + 'A');
     return text;
 }
 
 // Answer callbacks may outlive the connection, so they hold it weakly.
 class RespSession : public Session {
 public:
-    RespSession(Client &client, core::Desk desk, OpenIds &open)
-        : Session(client, desk.deadlines, desk.memory), desk_(std::move(desk)), open_(open) {}
+    RespSession(Client &client, core::FrontEndServices services, OpenIds &open)
+        : Session(client, services.deadlines, services.memory), services_(std::move(services)), open_(open) {}
 
 private:
     struct Slot {
         std::string bytes;
         bool ready = false;
-        core::Taker *taker = nullptr;
+        core::RequestHandler *request_handler = nullptr;
         RequestId id{};
         std::string name;                     // the client's id
         std::shared_ptr<core::Stream> stream; // where the rest of its answer comes from
@@ -101,7 +105,8 @@
     const char *front() const override { return "resp"; }
     void turn_away(const char *why) { // understood, but of no use
         wrong_ = true;
-        if (++useless_ >= kMostUseless) throw Malformed("too much of no use");
+        if (++useless_ >= kMostUseless)
+            throw Malformed("too much of no use");
         say(fmt::format("-ERR {}\r\n", why));
     }
 
@@ -112,18 +117,21 @@
             if (word.kind != Value::Kind::Bulk || word.null)
                 throw Malformed("expected an array of bulk strings");
         const std::string name = upper(value.elements.front().text);
-        if (name == "PING") return say(desk_.away ? "-ERR draining\r\n" : "+PONG\r\n");
-        if (name == "CLIENT" || name == "SELECT") return say("+OK\r\n");
+        if (name == "PING")
+            return say(services_.away ? "-ERR draining\r\n" : "+PONG\r\n");
+        if (name == "CLIENT" || name == "SELECT")
+            return say("+OK\r\n");
         if (name == "QUIT") {
             over_ = true;
             client_.note(CloseReason::Quit);
             return say("+OK\r\n");
         }
-        if (name != "OBJ.GET" && name != "OBJ.PUT") return turn_away("unknown command");
+        if (name != "OBJ.GET" && name != "OBJ.PUT")
+            return turn_away("unknown command");
         try {
-            ask(read_request(std::move(value), desk_.settings));
+            ask(read_request(std::move(value), services_.settings));
         } catch (const Malformed &error) {
-            const std::uint64_t count = ++desk_.figures.turned_away;
+            const std::uint64_t count = ++services_.figures.turned_away;
             if ((count & (count - 1)) == 0) // at 1, 2, 4, ...: what it is, without a line for each
                 core::log("a request turned away ({} so far): {}", count, error.what());
             turn_away(error.what());
@@ -132,28 +140,31 @@
 
     void ask(core::Request &&read) {
         // Its answers could not be told from the other's, and a node takes one for a repeat of the other.
-        if (!open_.insert(read.id).second) throw Malformed("the id of an open request");
+        if (!open_.insert(read.id).second)
+            throw Malformed("the id of an open request");
         read.refuse_at_once = client_.refuses(deadlines_.clock.now());
         client_.mark_asked();
-        if (client_.use().closing) ++client_.asked_since;
+        if (client_.use().closing)
+            ++client_.asked_since;
         useless_ = 0;
         read.connection = client_.id;
         read.sent = deadlines_.clock.now(); // its last byte: however slowly it was written
         auto request = std::make_shared<const core::Request>(std::move(read));
-        core::Taker &taker = desk_.taker(*request);
+        core::RequestHandler &request_handler = services_.request_handler(*request);
         const std::uint64_t number = slot();
-        slots_.back().taker = &taker;
+        slots_.back().request_handler = &request_handler;
         slots_.back().name = request->id;
         const std::weak_ptr<Session> weak = weak_from_this();
         const RequestId id =
-            taker.submit(std::move(request), [this, weak, number](const core::Outcome &outcome) {
+            request_handler.submit(std::move(request), [this, weak, number](const core::Outcome &outcome) {
                 const auto self = weak.lock();
                 if (self)
                     answer(number, spell(outcome), outcome.stream);
                 else if (outcome.stream)
                     outcome.stream->abandon();
             });
-        if (number >= first_) slots_[number - first_].id = id;
+        if (number >= first_)
+            slots_[number - first_].id = id;
     }
 
     std::uint64_t slot() {
@@ -164,14 +175,17 @@
     void say(std::string bytes) { answer(slot(), std::move(bytes)); }
 
     void answer(std::uint64_t number, std::string bytes, std::shared_ptr<core::Stream> stream = nullptr) {
-        if (gone()) return stream ? stream->abandon() : void();
+        if (gone())
+            return stream ? stream->abandon() : void();
         Slot &slot = slots_[number - first_];
         slot.bytes = std::move(bytes);
         slot.ready = true;
         slot.stream = std::move(stream);
         ready_ += slot.bytes.size();
-        if (slot.taker) open_.erase(slot.name);
-        if (!streaming_) flush();
+        if (slot.request_handler)
+            open_.erase(slot.name);
+        if (!streaming_)
+            flush();
     }
 
     // Sends what is ready, in the order asked, up to a long value.
@@ -183,10 +197,13 @@
             out += slots_.front().bytes;
             ready_ -= slots_.front().bytes.size();
             stream = slots_.front().stream;
-            if (!stream) slots_.pop_front(), ++first_, ++answers;
+            if (!stream)
+                slots_.pop_front(), ++first_, ++answers;
         }
-        if (!out.empty()) send(out, answers);
-        if (!stream) return;
+        if (!out.empty())
+            send(out, answers);
+        if (!stream)
+            return;
         streaming_ = true;
         asio::co_spawn(client_.socket.get_executor(), pass_on(shared_from_this(), std::move(stream)),
                        asio::detached);
@@ -197,12 +214,15 @@
                                   std::shared_ptr<core::Stream> stream) {
         for (;;) {
             std::string piece = co_await stream->take();
-            if (gone() || piece.empty()) break;
+            if (gone() || piece.empty())
+                break;
             send(piece, 0);
             co_await flushed();
         }
-        if (gone()) co_return stream->abandon();
-        if (!stream->whole()) co_return client_.close(CloseReason::BrokenValue);
+        if (gone())
+            co_return stream->abandon();
+        if (!stream->whole())
+            co_return client_.close(CloseReason::BrokenValue);
         streaming_ = false;
         slots_.pop_front(), ++first_;
         send("\r\n", 1);
@@ -211,21 +231,25 @@
 
     void left() override {
         for (const Slot &slot : slots_)
-            if (slot.taker && (!slot.ready || slot.stream)) {
-                if (!slot.ready) open_.erase(slot.name);
-                slot.taker->client_left(slot.id);
+            if (slot.request_handler && (!slot.ready || slot.stream)) {
+                if (!slot.ready)
+                    open_.erase(slot.name);
+                slot.request_handler->client_disconnected(slot.id);
             }
     }
 
     void withdraw() override {
-        std::vector<std::pair<core::Taker *, RequestId>> open; // answers may come while they are gone through
+        std::vector<std::pair<core::RequestHandler *, RequestId>>
+            open; // answers may come while they are gone through
         for (const Slot &slot : slots_)
-            if (slot.taker && !slot.ready) open.emplace_back(slot.taker, slot.id);
-        for (const auto &[taker, id] : open) taker->withdraw(id);
+            if (slot.request_handler && !slot.ready)
+                open.emplace_back(slot.request_handler, slot.id);
+        for (const auto &[request_handler, id] : open)
+            request_handler->withdraw(id);
     }
     bool passing_on() const override { return streaming_; }
 
-    core::Desk desk_;
+    core::FrontEndServices services_;
     OpenIds &open_;
     Reader reader_;
     int useless_ = 0;       // commands of no use since the last request
@@ -237,29 +261,33 @@
 
 } // namespace
 
-asio::awaitable<void> serve(Client &client, core::Desk desk, OpenIds &open) {
-    const auto session = std::make_shared<RespSession>(client, std::move(desk), open);
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenIds &open) {
+    const auto session = std::make_shared<RespSession>(client, std::move(services), open);
     co_await session->run();
 }
 
 core::Request read_request(Value &&command, const Settings &settings) {
     std::vector<Value> &words = command.elements;
     const bool write = upper(words[0].text) == "OBJ.PUT";
-    if (words.size() != (write ? 5u : 4u)) throw Malformed("wrong number of arguments");
+    if (words.size() != (write ? 5u : 4u))
+        throw Malformed("wrong number of arguments");
     core::Request r;
     RequestArrived &f = r.facts;
     f.write = write;
     f.key = DataKey{hex16(words[1].text, "piece")};
     r.piece = std::move(words[1].text);
     r.id = std::move(words[2].text);
-    if (r.id.empty() || r.id.size() > 64) throw Malformed("invalid id");
-    if (write) r.body = std::move(words[4].text);
+    if (r.id.empty() || r.id.size() > 64)
+        throw Malformed("invalid id");
+    if (write)
+        r.body = std::move(words[4].text);
     f.cls = f.plan = -1;
     for (std::string_view list = words[3].text; !list.empty();) {
         const std::string_view item = list.substr(0, list.find(','));
         list.remove_prefix(std::min(list.size(), item.size() + 1));
         const std::size_t equals = item.find('=');
-        if (equals == std::string_view::npos) throw Malformed("invalid list of names and values");
+        if (equals == std::string_view::npos)
+            throw Malformed("invalid list of names and values");
         const std::string_view name = item.substr(0, equals), value = item.substr(equals + 1);
         if (name == "c")
             f.cls = named(settings.classes, value, "class");
@@ -267,7 +295,8 @@
             f.plan = named(settings.plans, value, "plan");
         else if (name == "d") {
             const double ms = number<double>(value, "d");
-            if (!(ms >= 0 && ms < 1e9)) throw Malformed("invalid d");
+            if (!(ms >= 0 && ms < 1e9))
+                throw Malformed("invalid d");
             r.wait = std::llround(ms * 1000);
         } else if (name == "k")
             r.repeat_key = value;
@@ -277,16 +306,20 @@
             f.volume = VolumeId{hex16(value, "volume")};
         else if (name == "units") {
             f.units = number<double>(value, "units");
-            if (!(f.units > 0 && f.units <= 1e6)) throw Malformed("invalid units");
+            if (!(f.units > 0 && f.units <= 1e6))
+                throw Malformed("invalid units");
         } else if (name == "shard") {
-            if (const auto shard = number<std::int64_t>(value, "shard"); shard >= 0) f.shard = ShardId{shard};
+            if (const auto shard = number<std::int64_t>(value, "shard"); shard >= 0)
+                f.shard = ShardId{shard};
         } else if (name == "hosts") {
             f.hosts = number<int>(value, "hosts");
-            if (f.hosts < 1 || f.hosts > 1'000'000) throw Malformed("invalid hosts");
+            if (f.hosts < 1 || f.hosts > 1'000'000)
+                throw Malformed("invalid hosts");
         } else
             r.extra.emplace_back(name, value);
     }
-    if (f.cls < 0 || f.plan < 0 || r.wait <= 0) throw Malformed("c, t and d are needed");
+    if (f.cls < 0 || f.plan < 0 || r.wait <= 0)
+        throw Malformed("c, t and d are needed");
     return r;
 }
 
--- a/src/net/resp/front.hpp
+++ b/src/net/resp/front.hpp
@@ -2,7 +2,7 @@
 // their order.
 #pragma once
 
-#include "core/planner.hpp"
+#include "core/request_dispatcher.hpp"
 #include "net/clients.hpp"
 #include "net/resp/parser.hpp"
 
@@ -12,7 +12,7 @@
 
 using OpenIds = std::unordered_set<std::string>; // of requests taken and not yet answered, of all clients
 
-asio::awaitable<void> serve(Client &client, core::Desk desk, OpenIds &open);
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenIds &open);
 
 // What a command asks. Throws Malformed, which says what is wrong.
 core::Request read_request(Value &&command, const Settings &settings);
--- a/src/net/resp/node_port.cpp
+++ b/src/net/resp/node_port.cpp
@@ -24,11 +24,13 @@
         const std::string_view item = text.substr(0, text.find(','));
         text.remove_prefix(std::min(text.size(), item.size() + 1));
         const std::size_t equals = item.find('=');
-        if (equals == std::string_view::npos) continue;
+        if (equals == std::string_view::npos)
+            continue;
         double number = 0;
         const auto [end, error] =
             std::from_chars(item.data() + equals + 1, item.data() + item.size(), number);
-        if (error == std::errc() && end == item.data() + item.size()) use(item.substr(0, equals), number);
+        if (error == std::errc() && end == item.data() + item.size())
+            use(item.substr(0, equals), number);
     }
 }
 
@@ -37,10 +39,11 @@
         if (name == "used" && number >= 0 && number < 1e9)
             result.used = 1 + static_cast<int>(number); // the module's figure counts from 1
         else if (name == "cost" && number >= 0 && number < 1e9)
-            result.elsewhere = number;
+            result.remote_units = number;
         else {
             LoadReport load = result.report.value_or(LoadReport{});
-            if (config::set_figure(load, name, number)) result.report = load;
+            if (config::set_figure(load, name, number))
+                result.report = load;
         }
     });
 }
@@ -77,8 +80,10 @@
         if (attempt.stream) {
             limit.reset();
             std::string part = answer.value ? std::move(answer.value->elements.front().text) : reader.part();
-            if (!part.empty()) answer.spoilt |= !co_await attempt.stream->put(std::move(part));
-            if (answer.value || reader.first()) attempt.stream->end(true);
+            if (!part.empty())
+                answer.spoilt |= !co_await attempt.stream->put(std::move(part));
+            if (answer.value || reader.first())
+                attempt.stream->end(true);
         }
         held.set(wire.in.size() + (attempt.stream ? 0 : reader.kept()));
     }
@@ -87,8 +92,9 @@
             answer.value = Value{Value::Kind::Array, false, {}, {}};
             answer.value->elements.push_back({Value::Kind::Bulk, false, *first, {}});
         }
-    if (attempt.stream) attempt.stream->end(false); // unless it is whole
-    answer.spoilt |= !wire.in.empty();              // what stands behind an answer belongs to nobody
+    if (attempt.stream)
+        attempt.stream->end(false);    // unless it is whole
+    answer.spoilt |= !wire.in.empty(); // what stands behind an answer belongs to nobody
     co_return answer;
 }
 
@@ -102,7 +108,8 @@
         result.status = Status::Ok;
         result.value = std::move(answer.elements.front().text);
         for (std::size_t n = 1; n < answer.elements.size(); ++n)
-            if (text(answer.elements[n])) read_figures(answer.elements[n].text, result);
+            if (text(answer.elements[n]))
+                read_figures(answer.elements[n].text, result);
         return true;
     }
     if (of_broker && text(answer)) {
@@ -111,9 +118,10 @@
         return true;
     }
     result.status = Status::Error;
-    if (answer.kind != Value::Kind::Error) return false;
+    if (answer.kind != Value::Kind::Error)
+        return false;
     if (says("BUSY")) {
-        result.status = Status::Full;
+        result.status = Status::Rejected;
         if (of_broker && answer.text.size() > 5)
             result.retry_after = 1000 * std::clamp(std::atoll(answer.text.c_str() + 5), 0LL, 60'000LL);
         return true;
@@ -136,7 +144,8 @@
 
 void NodePort::place(NodeId node, const tcp::endpoint &address) {
     const auto [it, fresh] = addresses_.try_emplace(node, address);
-    if (fresh || it->second == address) return;
+    if (fresh || it->second == address)
+        return;
     pool_.close_idle(it->second); // it has moved
     it->second = address;
 }
@@ -147,21 +156,25 @@
 }
 // Where the node has moved or gone meanwhile, nobody would come for the connection.
 void NodePort::give_back(NodeId node, const tcp::endpoint &to, std::shared_ptr<Wire> wire) {
-    if (!wire->socket.is_open()) return;
+    if (!wire->socket.is_open())
+        return;
     const auto at = addresses_.find(node);
     std::string().swap(wire->in); // its room, too
-    if (at != addresses_.end() && at->second == to) pool_.give_back(to, std::move(wire));
+    if (at != addresses_.end() && at->second == to)
+        pool_.give_back(to, std::move(wire));
 }
 
 void NodePort::close_idle(NodeId node) {
-    if (const auto at = addresses_.find(node); at != addresses_.end()) pool_.close_idle(at->second);
+    if (const auto at = addresses_.find(node); at != addresses_.end())
+        pool_.close_idle(at->second);
 }
 
 // Answers bear no number: one that comes twice, the second time some milliseconds late, would be taken for
 // the answer to the next request. So a connection is used again only once nothing more has come for a while.
 asio::awaitable<bool> NodePort::settled(Wire &wire) {
     const Micros until = wire.returned + kSettle;
-    if (deadlines_.clock.now() >= until) co_return true;
+    if (deadlines_.clock.now() >= until)
+        co_return true;
     boost::system::error_code error;
     const auto limit = deadlines_.at(until, [&wire] {
         boost::system::error_code ignored;
@@ -177,11 +190,13 @@
         attempt.on_stop = [wire = wire.get()] { wire->close(); };
         const bool quiet = co_await settled(*wire);
         attempt.on_stop = nullptr;
-        if (quiet || attempt.stopped) co_return wire;
+        if (quiet || attempt.stopped)
+            co_return wire;
         wire->close();
     }
     wire = pool_.open();
-    if (!wire) co_return nullptr;
+    if (!wire)
+        co_return nullptr;
     attempt.on_stop = [wire = wire.get()] { wire->close(); };
     const Micros wait = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDial;
     const auto error = co_await dial(wire->socket, to, deadlines_.clock.now() + wait, deadlines_);
@@ -194,15 +209,17 @@
     const auto at = addresses_.find(attempt->node);
     const tcp::endpoint to = at == addresses_.end() ? tcp::endpoint() : at->second;
     std::shared_ptr<Wire> wire; // no co_await inside a ?: anywhere: g++ 12 frees its temporaries twice
-    if (at != addresses_.end()) wire = co_await connect(to, *attempt);
+    if (at != addresses_.end())
+        wire = co_await connect(to, *attempt);
     if (!wire || attempt->stopped) {
-        if (wire) give_back(attempt->node, to, wire);
+        if (wire)
+            give_back(attempt->node, to, wire);
         result.status = attempt->broken(false);
         co_return result;
     }
     if (!attempt->may_write()) {
         give_back(attempt->node, to, wire);
-        result.status = Status::Moot;
+        result.status = Status::Superseded;
         co_return result;
     }
 
@@ -212,9 +229,11 @@
     boost::system::error_code error;
     const std::size_t written = co_await write_all(wire->socket, command, error);
     const bool whole = written == command.size();
-    if (whole) attempt->written();
+    if (whole)
+        attempt->written();
     Answer answer;
-    if (whole) answer = co_await receive(*wire, deadlines_, memory_, *attempt);
+    if (whole)
+        answer = co_await receive(*wire, deadlines_, memory_, *attempt);
     attempt->on_stop = nullptr;
     if (!answer.value) {
         wire->close();
@@ -223,7 +242,8 @@
     }
     const bool good =
         read_answer(std::move(*answer.value), result, peers_ == Peers::Brokers) && !answer.spoilt;
-    if (good && wire->socket.is_open()) give_back(attempt->node, to, wire);
+    if (good && wire->socket.is_open())
+        give_back(attempt->node, to, wire);
     co_return result;
 }
 
@@ -234,32 +254,39 @@
     const Micros left = std::max<Micros>(attempt.expires - deadlines_.clock.now(), 1000);
     std::string list = fmt::format("c={},t={},d={}", settings_.classes[f.cls].name,
                                    settings_.plans[f.plan].name, left / 1000);
-    if (!r.repeat_key.empty()) list += ",k=" + r.repeat_key;
-    if (f.retry) list += ",r=1";
+    if (!r.repeat_key.empty())
+        list += ",k=" + r.repeat_key;
+    if (f.retry)
+        list += ",r=1";
     list += fmt::format(",volume={:016x},units={},shard={},hosts={}", static_cast<std::uint64_t>(f.volume),
                         f.units, f.shard ? static_cast<std::int64_t>(*f.shard) : -1, f.hosts);
-    for (const auto &[name, value] : r.extra) list += "," + name + "=" + value;
-    if (f.write) return command({"OBJ.PUT", r.piece, r.id, list, r.body});
+    for (const auto &[name, value] : r.extra)
+        list += "," + name + "=" + value;
+    if (f.write)
+        return command({"OBJ.PUT", r.piece, r.id, list, r.body});
     return command({"OBJ.GET", r.piece, r.id, list});
 }
 
 asio::awaitable<core::ProbeResult> NodePort::probe(NodeId node) {
     core::ProbeResult result;
     const auto at = addresses_.find(node);
-    if (at == addresses_.end()) co_return result;
+    if (at == addresses_.end())
+        co_return result;
     const tcp::endpoint to = at->second;
     core::Attempt frame; // only for its way to be stopped
     const Micros wait = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDial;
     const auto limit = deadlines_.in(wait, [&frame] { frame.stop(Status::Timeout); });
     const auto wire = co_await connect(to, frame);
     result.status = Status::ConnectFailed;
-    if (!wire) co_return result;
+    if (!wire)
+        co_return result;
     frame.on_stop = [wire = wire.get()] { wire->close(); };
     const std::string ask = command({"INFO", "load"});
     boost::system::error_code error;
     co_await write_all(wire->socket, ask, error);
     Answer answer;
-    if (!error) answer = co_await receive(*wire, deadlines_, memory_, frame);
+    if (!error)
+        answer = co_await receive(*wire, deadlines_, memory_, frame);
     frame.on_stop = nullptr;
     if (!answer.value) {
         wire->close();
@@ -268,10 +295,12 @@
     }
     const bool good = answer.value->kind == Value::Kind::Bulk && !answer.value->null;
     core::AttemptResult told;
-    if (good) read_figures(answer.value->text, told);
+    if (good)
+        read_figures(answer.value->text, told);
     result.report = told.report;
     result.status = good ? Status::Ok : Status::Error;
-    if (good && !answer.spoilt && wire->socket.is_open()) give_back(node, to, wire);
+    if (good && !answer.spoilt && wire->socket.is_open())
+        give_back(node, to, wire);
     co_return result;
 }
 
--- a/src/net/resp/parser.cpp
+++ b/src/net/resp/parser.cpp
@@ -12,7 +12,8 @@
 std::optional<std::string_view> line(std::string_view &bytes) {
     const std::size_t end = bytes.substr(0, kMostLine).find("\r\n");
     if (end == std::string_view::npos) {
-        if (bytes.size() >= kMostLine) throw Malformed("line too long");
+        if (bytes.size() >= kMostLine)
+            throw Malformed("line too long");
         return std::nullopt;
     }
     const std::string_view found = bytes.substr(0, end);
@@ -39,20 +40,24 @@
             bulk_->text += part;
             got_ += part.size();
             bytes.remove_prefix(part.size());
-            if (got_ < length_ || bytes.empty()) return std::nullopt;
+            if (got_ < length_ || bytes.empty())
+                return std::nullopt;
             if (!std::string_view("\r\n").starts_with(bytes.substr(0, 2)))
                 throw Malformed("bulk string runs on");
-            if (bytes.size() < 2) return std::nullopt;
+            if (bytes.size() < 2)
+                return std::nullopt;
             bytes.remove_prefix(2);
             whole = ended(std::move(*std::exchange(bulk_, std::nullopt)));
         } else {
-            if (bytes.empty()) return std::nullopt;
+            if (bytes.empty())
+                return std::nullopt;
             const char type = bytes.front();
             if (std::string_view("+-:$*").find(type) == std::string_view::npos)
                 throw Malformed("unexpected byte");
             std::string_view rest = bytes.substr(1);
             const auto head = line(rest);
-            if (!head) return std::nullopt;
+            if (!head)
+                return std::nullopt;
             bytes = rest;
             Value value;
             if (type == '$') {
@@ -60,14 +65,16 @@
                 value.null = size < 0;
                 if (size >= 0) {
                     length_ = static_cast<std::size_t>(size);
-                    if ((size_ += length_) > most_ + kMostBeside) throw Malformed("message too long");
+                    if ((size_ += length_) > most_ + kMostBeside)
+                        throw Malformed("message too long");
                     value.text.reserve(std::min(length_, kMostValue));
                     got_ = 0;
                     bulk_ = std::move(value);
                     continue;
                 }
             } else if (type == '*') {
-                if (array_) throw Malformed("array within an array");
+                if (array_)
+                    throw Malformed("array within an array");
                 const long size = count(*head, kMostElements, "array");
                 value.kind = Value::Kind::Array;
                 value.null = size < 0;
@@ -93,9 +100,11 @@
 
 // A value is whole; with it perhaps the array that it belongs to.
 std::optional<Value> Reader::ended(Value &&value) {
-    if (!array_) return std::move(value);
+    if (!array_)
+        return std::move(value);
     array_->elements.push_back(std::move(value));
-    if (--missing_ > 0) return std::nullopt;
+    if (--missing_ > 0)
+        return std::nullopt;
     return std::exchange(array_, std::nullopt);
 }
 
@@ -116,12 +125,14 @@
                        value.text + "\r\n";
         }
     }
-    if (bulk_) out += fmt::format("${}\r\n{}", length_, bulk_->text);
+    if (bulk_)
+        out += fmt::format("${}\r\n{}", length_, bulk_->text);
     return out;
 }
 
 const std::string *Reader::first() const {
-    if (!array_ || array_->elements.empty()) return nullptr;
+    if (!array_ || array_->elements.empty())
+        return nullptr;
     const Value &value = array_->elements.front();
     return value.kind == Value::Kind::Bulk && !value.null ? &value.text : nullptr;
 }
@@ -131,7 +142,8 @@
     return first && length_ > kMostValue ? std::optional(length_) : std::nullopt;
 }
 std::string Reader::part() {
-    if (bulk_ && array_ && array_->elements.empty()) return std::exchange(bulk_->text, {});
+    if (bulk_ && array_ && array_->elements.empty())
+        return std::exchange(bulk_->text, {});
     return array_ && !array_->elements.empty() ? std::exchange(array_->elements.front().text, {})
                                                : std::string();
 }
@@ -143,7 +155,8 @@
 
 std::string command(const std::vector<std::string_view> &words) {
     std::string out = fmt::format("*{}\r\n", words.size());
-    for (const std::string_view word : words) put_bulk(out, word);
+    for (const std::string_view word : words)
+        put_bulk(out, word);
     return out;
 }
 
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -43,26 +43,32 @@
         handle_received(false);
     }
     while (!over_) {
-        if (client_.use().closing && deadlines_.clock.now() >= client_.closing.end_by) closing_due();
+        if (client_.use().closing && deadlines_.clock.now() >= client_.closing.end_by)
+            closing_due();
         if (unread_ && !crowded()) {
             unread_ = false;
             handle_received(true);
             continue;
         }
         boost::system::error_code error;
-        if (client_.pass && hand_over()) break;
-        if (client_.use().closing && end_between_requests()) break;
+        if (client_.pass && hand_over())
+            break;
+        if (client_.use().closing && end_between_requests())
+            break;
         arm_patience();
         if (unread_ && (in_.size() >= kReadAhead || memory_.full())) {
             co_await rest(kLook, true);
-            if (!hung_up()) continue;
+            if (!hung_up())
+                continue;
             client_gone();
             break;
         }
         const bool fresh = !begun();
         error = co_await readable();
-        if (error == asio::error::operation_aborted && client_.socket.is_open()) continue;
-        if (!error) error = read_now(client_.socket, in_);
+        if (error == asio::error::operation_aborted && client_.socket.is_open())
+            continue;
+        if (!error)
+            error = read_now(client_.socket, in_);
         if (error) {
             client_gone();
             break;
@@ -84,7 +90,8 @@
     over_ = true;
     patience_.reset();
     // Nothing is owed to a client that has said nothing: what crosses this is not read, and comes again.
-    if (!heard_ && client_.use().closing) client_.close(CloseReason::ClientLeft);
+    if (!heard_ && client_.use().closing)
+        client_.close(CloseReason::ClientDisconnected);
     co_await end();
     closing_.reset();
     awaited_.reset();
@@ -96,14 +103,18 @@
 // bounded part at once, and ends the connection where nothing has; true: it is over.
 bool Session::end_between_requests() {
     for (int n = 0; n < kReadsAtOnce && !crowded(); ++n) {
-        if (shut_down_if_quiet()) return true;
+        if (shut_down_if_quiet())
+            return true;
         const bool fresh = !begun();
         const std::size_t before = in_.size();
         const auto error = read_now(client_.socket, in_);
         const bool came = in_.size() != before;
-        if (came) handle_received(fresh);
-        if (over_) return true;
-        if (error || !came) return false;
+        if (came)
+            handle_received(fresh);
+        if (over_)
+            return true;
+        if (error || !came)
+            return false;
     }
     return false;
 }
@@ -113,10 +124,14 @@
 // answered, and one that comes later finds the end on its way to its client.
 bool Session::shut_down_if_quiet() {
     const ConnectionUse &use = client_.use();
-    if (over_ || gone_ || !use.closing || use.owed > 0) return false;
-    if (parsing_ || unread_ || unwritten_ || !out_.empty() || !may_end()) return false;
-    if (deadlines_.clock.now() < awaits_until()) return false;
-    if (!quiet(client_.socket)) return false;
+    if (over_ || gone_ || !use.closing || use.owed > 0)
+        return false;
+    if (parsing_ || unread_ || unwritten_ || !out_.empty() || !may_end())
+        return false;
+    if (deadlines_.clock.now() < awaits_until())
+        return false;
+    if (!quiet(client_.socket))
+        return false;
     boost::system::error_code ignored;
     client_.socket.shutdown(tcp::socket::shutdown_send, ignored);
     client_.mark_ending();
@@ -125,7 +140,8 @@
 }
 
 void Session::arm_closing_timers() {
-    if (!client_.use().closing) return;
+    if (!client_.use().closing)
+        return;
     if (!client_.closing.withdrawn)
         closing_ = deadlines_.at(client_.closing.end_by, [this] { closing_due(); });
     if (const Micros until = awaits_until(); until != kUnbounded)
@@ -138,8 +154,10 @@
 Micros Session::awaits_until() const {
     const Closing &closing = client_.closing;
     const Micros burst = client_.use().accepted + Closing::kBurstWithin;
-    if (!heard_) return std::max(burst, closing.first_until);
-    if (!client_.use().partial) return burst;
+    if (!heard_)
+        return std::max(burst, closing.first_until);
+    if (!client_.use().partial)
+        return burst;
     return closing.withdrawn ? std::max(burst, closing.rest_until) : kUnbounded;
 }
 
@@ -148,12 +166,14 @@
 void Session::closing_due() {
     Closing &closing = client_.closing;
     const bool newer = newer_ || unread_ || client_.use().partial;
-    if (closing.withdrawn || (!newer && !closing.lone_requests)) return;
+    if (closing.withdrawn || (!newer && !closing.lone_requests))
+        return;
     closing.withdrawn = true;
     closing.rest_until = deadlines_.clock.now() + Closing::kRestWithin;
     arm_closing_timers();
     flush_ = deadlines_.in(Closing::kFlushWithin, [this] {
-        if (!passing_on()) client_.close(CloseReason::NotReading);
+        if (!passing_on())
+            client_.close(CloseReason::NotReading);
     });
     if (client_.use().owed > 0)
         core::log("client {}: {} open requests are withdrawn ({})", client_.id, client_.use().owed,
@@ -163,12 +183,15 @@
     wake();
 }
 
-bool Session::crowded() const { return client_.use().owed >= kMostOwed; }
+bool Session::crowded() const {
+    return client_.use().owed >= kMostOwed;
+}
 
 // Whoever waits for an answer and goes is seen here: nothing more is done for it.
 void Session::client_gone() {
-    if (std::exchange(gone_, true)) return;
-    client_.note(CloseReason::ClientLeft);
+    if (std::exchange(gone_, true))
+        return;
+    client_.note(CloseReason::ClientDisconnected);
     left();
 }
 
@@ -188,26 +211,32 @@
 }
 
 bool Session::hand_over() {
-    if (client_.use().owed > 0 || writing_ || wrong_) return false;
+    if (client_.use().owed > 0 || writing_ || wrong_)
+        return false;
     auto bytes = unfinished();
-    if (!bytes || bytes->size() > kMostPassed) return false;
+    if (!bytes || bytes->size() > kMostPassed)
+        return false;
     boost::system::error_code error;
     Descriptor fd(client_.socket.release(error));
     gone_ = true; // from here
     client_.note(CloseReason::HandedOver);
-    if (!error) client_.pass({front(), client_.use().asked, since_, std::move(*bytes), std::move(fd)});
+    if (!error)
+        client_.pass({front(), client_.use().asked, since_, std::move(*bytes), std::move(fd)});
     return true;
 }
 
 void Session::handle_received(bool fresh) {
     client_.received(deadlines_.clock.now());
     heard_ = true;
-    if (client_.refuses(client_.use().used)) newer_ = true;
-    if (fresh) since_ = client_.use().used;
+    if (client_.refuses(client_.use().used))
+        newer_ = true;
+    if (fresh)
+        since_ = client_.use().used;
     parsing_ = true;
     take_all(); // may answer, and write the answers, before all of it is parsed
     parsing_ = false;
-    if (in_.empty()) std::string().swap(in_); // its room, too
+    if (in_.empty())
+        std::string().swap(in_); // its room, too
     // Many connections with a part of a message each must not add up to more than the machine has.
     if (begun() && !over_ && memory_.full() && held() > kFreeRein)
         stop_reading(CloseReason::Incomplete, "no room for it");
@@ -220,7 +249,8 @@
 void Session::arm_patience() {
     patience_.reset();
     const Micros idle = may_idle();
-    if (over_) return;
+    if (over_)
+        return;
     const ConnectionUse &use = client_.use();
     if (use.partial)
         patience_ = deadlines_.at(since_ + kWholeWithin, [this] {
@@ -248,14 +278,16 @@
         over = true;
         wake();
     });
-    while (!over && !(until_room && !crowded())) co_await wake_.take();
+    while (!over && !(until_room && !crowded()))
+        co_await wake_.take();
 }
 
 void Session::send(std::string_view bytes, std::size_t answers) {
     out_ += bytes;
     out_answers_ += answers;
     share_.set(held() + out_.size());
-    if (writing_ || gone_) return;
+    if (writing_ || gone_)
+        return;
     writing_ = client_.writing = true;
     asio::co_spawn(client_.socket.get_executor(), write(shared_from_this()), asio::detached);
 }
@@ -274,22 +306,28 @@
         self->client_.received(self->deadlines_.clock.now());
         self->share_.set(self->held() + self->out_.size());
         // The reader sees it, and tells that the client has gone.
-        if (error) self->client_.close(CloseReason::ClientLeft);
+        if (error)
+            self->client_.close(CloseReason::ClientDisconnected);
         // At once: a client that goes on sending has its answer now, and its next request soon.
-        if (!error && !self->client_.pass) self->shut_down_if_quiet();
+        if (!error && !self->client_.pass)
+            self->shut_down_if_quiet();
         co_await asio::post(self->client_.socket.get_executor(), asio::use_awaitable); // others' turn
         self->wake();
     }
     self->writing_ = self->client_.writing = false;
     self->wake();
-    if (self->flow_.empty()) self->flow_.put(true);
-    if (!self->client_.notify) co_return; // it has ended
+    if (self->flow_.empty())
+        self->flow_.put(true);
+    if (!self->client_.notify)
+        co_return; // it has ended
     self->arm_patience();
-    if (self->client_.use().closing || self->client_.pass) self->client_.notify();
+    if (self->client_.use().closing || self->client_.pass)
+        self->client_.notify();
 }
 
 asio::awaitable<void> Session::flushed() {
-    while (writing_ && !gone_) co_await flow_.take();
+    while (writing_ && !gone_)
+        co_await flow_.take();
 }
 
 // All that was asked is answered, then the client sees the end. What it wrote meanwhile is read and dropped,
@@ -299,33 +337,40 @@
     std::string dropped;
     for (int n = 1; !gone_ && !shut_down_ && (writing_ || client_.use().owed > 0); ++n, dropped.clear()) {
         boost::system::error_code error = co_await readable();
-        if (error == asio::error::operation_aborted && client_.socket.is_open()) continue;
-        if (!error) error = read_now(client_.socket, dropped);
+        if (error == asio::error::operation_aborted && client_.socket.is_open())
+            continue;
+        if (!error)
+            error = read_now(client_.socket, dropped);
         client_.dropped_before_shutdown += dropped.size();
         if (error || hung_up())
             client_gone();
         else if (n % kDropped == 0)
             co_await rest(kDropRest);
     }
-    if (gone_) client_.close(CloseReason::ClientLeft); // what is still being written has no reader
-    while (writing_) co_await wake_.take();
-    if (gone_) co_return;
+    if (gone_)
+        client_.close(CloseReason::ClientDisconnected); // what is still being written has no reader
+    while (writing_)
+        co_await wake_.take();
+    if (gone_)
+        co_return;
     boost::system::error_code error;
-    if (!client_.use().partial) client_.dropped_before_shutdown += in_.size(); // read, and never parsed
+    if (!client_.use().partial)
+        client_.dropped_before_shutdown += in_.size(); // read, and never parsed
     if (!shut_down_) {
         client_.dropped_before_shutdown += client_.unread_bytes();
         client_.socket.shutdown(tcp::socket::shutdown_send, error);
         client_.mark_ending();
     }
     const auto limit = deadlines_.in(kLinger, [this] {
-        client_.close(CloseReason::ClientLeft);
+        client_.close(CloseReason::ClientDisconnected);
         wake();
     });
     for (int n = 0; n < kDropped && !error; ++n, dropped.clear()) {
         error = co_await read_more(client_.socket, dropped);
         client_.dropped_after_shutdown += dropped.size();
     }
-    while (!error && client_.socket.is_open()) co_await wake_.take();
+    while (!error && client_.socket.is_open())
+        co_await wake_.take();
 }
 
 } // namespace marblewood::net
--- a/src/net/session.hpp
+++ b/src/net/session.hpp
@@ -65,8 +65,10 @@
         read_interrupted_.emit(asio::cancellation_type::all);
     }             // ends readable(), and nothing else
     void wake() { // at most one call waits to be heard
-        if (wake_.empty()) wake_.put(true);
-        if (over_ || unread_) interrupt_read();
+        if (wake_.empty())
+            wake_.put(true);
+        if (over_ || unread_)
+            interrupt_read();
     }
     asio::awaitable<void> write(std::shared_ptr<Session> self);
     asio::awaitable<void> end();
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -34,7 +34,8 @@
             return *this;
         }
         ~Lease() {
-            if (held_) --*held_;
+            if (held_)
+                --*held_;
         }
 
     private:
@@ -78,8 +79,10 @@
         socket.close(ignored);
     });
     co_await socket.async_connect(to, asio::redirect_error(asio::use_awaitable, error));
-    if (!error && !socket.is_open()) error = asio::error::timed_out;
-    if (!error) socket.set_option(tcp::no_delay(true), error);
+    if (!error && !socket.is_open())
+        error = asio::error::timed_out;
+    if (!error)
+        socket.set_option(tcp::no_delay(true), error);
     co_return error;
 }
 
@@ -99,8 +102,10 @@
     char byte;
     for (int n = 0; n < kTries; ++n) {
         const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (got >= 0) return false;
-        if (errno != EINTR) return errno == EAGAIN || errno == EWOULDBLOCK;
+        if (got >= 0)
+            return false;
+        if (errno != EINTR)
+            return errno == EAGAIN || errno == EWOULDBLOCK;
     }
     return false;
 }
@@ -111,8 +116,10 @@
     static char chunk[kChunk];
     boost::system::error_code error;
     socket.non_blocking(true, error);
-    if (!error) in.append(chunk, socket.read_some(asio::buffer(chunk, most), error));
-    if (to_be_tried_again(error)) error.clear();
+    if (!error)
+        in.append(chunk, socket.read_some(asio::buffer(chunk, most), error));
+    if (to_be_tried_again(error))
+        error.clear();
     return error;
 }
 inline asio::awaitable<boost::system::error_code> read_more(tcp::socket &socket, std::string &in,
@@ -130,7 +137,8 @@
     socket.non_blocking(true, error);
     while (!error && written < bytes.size()) {
         written += socket.write_some(asio::buffer(bytes.substr(written)), error);
-        if (!to_be_tried_again(error)) continue;
+        if (!to_be_tried_again(error))
+            continue;
         co_await socket.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
     }
     co_return written;
@@ -150,7 +158,8 @@
     do {
         co_await acceptor.async_wait(tcp::acceptor::wait_read,
                                      asio::redirect_error(asio::use_awaitable, error));
-        if (!error) acceptor.accept(socket, error);
+        if (!error)
+            acceptor.accept(socket, error);
     } while (to_be_tried_again(error));
     co_return error;
 }
--- a/src/overload/cold_allocator.hpp
+++ b/src/overload/cold_allocator.hpp
@@ -31,7 +31,7 @@
 
     // A request for so many units: whom to ask and what to say; nothing where nobody can help, or not yet
     // again.
-    std::optional<TellPeers> ask(ColdNode &node, double units, Micros now);
+    std::optional<SendPeerMessage> ask(ColdNode &node, double units, Micros now);
     // What a peer says. Empty where it makes no sense, which is counted.
     struct Word {
         bool grant = false; // else a request
@@ -39,13 +39,14 @@
         double units = 0;
     };
     std::optional<Word> read(const std::string &data);
-    std::optional<TellPeers> answer(ColdNode &node, const Word &request, int to, Micros now, Micros born);
+    std::optional<SendPeerMessage> answer(ColdNode &node, const Word &request, int to, Micros now,
+                                          Micros born);
     bool take(ColdNode &node, const Word &grant, Micros now); // whether there is something to spend now
 
-    const GrantFigures &figures() const { return figures_; }
+    const SlowStartGrantMetrics &figures() const { return figures_; }
 
 private:
-    Micros slot() const { return std::max<Micros>(1, set_.fall_window / 16); }
+    Micros slot() const { return std::max<Micros>(1, set_.slow_start_window / 16); }
     Micros epoch() const;
     Micros holds() const; // us after a grant for which it counts: W + g, and some for clocks that run apart
     int allocator_at(const ColdNode &node, int nth, Micros now) const;
@@ -56,7 +57,7 @@
 
     Settings set_;
     std::uint64_t requests_ = 0;
-    GrantFigures figures_;
+    SlowStartGrantMetrics figures_;
 };
 
 } // namespace marblewood::overload
--- a/src/overload/cold_quota.hpp
+++ b/src/overload/cold_quota.hpp
@@ -12,25 +12,26 @@
         : set_(settings), time_slices_(settings), allocator_(settings) {}
 
     bool cold(const ColdNode &node, Micros now) const {
-        return set_.fall_window > 0 && now - node.cold_since < set_.warm_after;
+        return set_.slow_start_window > 0 && now - node.cold_since < set_.slow_start_duration;
     }
     bool bears(const ColdNode &node, double units, Micros now, Micros born) const {
         return !cold(node, now) || (set_.peers ? allocator_.bears(node, units, now, born)
                                                : time_slices_.bears(node, units, now, born));
     }
     void spend(ColdNode &node, double units, Micros now, Micros born) {
-        if (!cold(node, now)) return;
+        if (!cold(node, now))
+            return;
         set_.peers ? allocator_.spend(node, units, now, born) : time_slices_.spend(node, units, now);
     }
     void forget(ColdNode &node, Micros now) {
         set_.peers ? allocator_.forget(node, now) : time_slices_.forget(node, now);
     }
     // A request for so many units, where it may help.
-    std::optional<TellPeers> ask(ColdNode &node, double units, Micros now) {
+    std::optional<SendPeerMessage> ask(ColdNode &node, double units, Micros now) {
         return set_.peers && cold(node, now) ? allocator_.ask(node, units, now) : std::nullopt;
     }
     ColdAllocator &allocator() { return allocator_; } // to read what others say, and answer
-    const GrantFigures &figures() const { return allocator_.figures(); }
+    const SlowStartGrantMetrics &figures() const { return allocator_.figures(); }
 
 private:
     Settings set_;
