--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -17,18 +17,19 @@
 
 Settings basic() {
     Settings s;
-    s.classes = {{300 * kMs, 1500 * kMs, 2, 0.1, Effect::Safe, Group::All, 0, false, false},
-                 {400 * kMs, 2000 * kMs, 2, 0.2, Effect::Unsafe, Group::All, 0, true, false}};
+    s.classes = {
+        {300 * kMs, 1500 * kMs, 2, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, false, false},
+        {400 * kMs, 2000 * kMs, 2, 0.2, Idempotency::NotIdempotent, DeduplicationScope::All, 0, true, false}};
     s.plans = {{10, 5, 1, 1, 0, 0, 0}};
     s.max_attempts = 3;
-    s.most_units = 4;
-    s.mean_units = 2;
+    s.max_request_units = 4;
+    s.mean_request_units = 2;
     s.drain_grace = 250 * kMs;
-    s.order_settle = 100 * kMs;
-    s.fall_window = kSecond;
-    s.warm_after = 10 * kSecond;
-    s.cold_from = 0.2;
-    s.cold_units = 12;
+    s.ordering_settle_time = 100 * kMs;
+    s.slow_start_window = kSecond;
+    s.slow_start_duration = 10 * kSecond;
+    s.slow_start_initial_fraction = 0.2;
+    s.slow_start_units = 12;
     return s;
 }
 
@@ -36,7 +37,8 @@
 public:
     explicit Bench(const Settings &settings, int nodes = 2) : scheduler(settings), settings_(settings) {
         ListUpdate list{ListUpdate::Kind::Saved, {}};
-        for (int n = 0; n < nodes; ++n) list.entries.push_back(entry(n));
+        for (int n = 0; n < nodes; ++n)
+            list.entries.push_back(entry(n));
         give(list);
     }
     static NodeEntry entry(int n, NodeState state = NodeState::Ready, Micros started = 0) {
@@ -62,7 +64,7 @@
                 logs.push_back(log->text);
             else if (const auto *probe = std::get_if<Probe>(&action))
                 probed.push_back(probe->node);
-            else if (std::holds_alternative<TellPeers>(action))
+            else if (std::holds_alternative<SendPeerMessage>(action))
                 ++told_peers;
         }
     }
@@ -72,7 +74,8 @@
         in.cls = cls;
         in.volume = VolumeId{volume};
         in.key = key;
-        if (shard >= 0) in.shard = ShardId(shard);
+        if (shard >= 0)
+            in.shard = ShardId(shard);
         in.time_left = time_left ? time_left : settings_.classes[static_cast<std::size_t>(cls)].deadline;
         in.units = units;
         in.hosts = hosts;
@@ -80,13 +83,15 @@
         return in.id;
     }
     void end(RequestId id, Status status = Status::Ok, Micros latency = 30 * kMs, int attempt = -1) {
-        if (attempt < 0) attempt = static_cast<int>(attempts.at(id).size()) - 1;
+        if (attempt < 0)
+            attempt = static_cast<int>(attempts.at(id).size()) - 1;
         give(AttemptEnded{id, attempt, status, latency, status == Status::Ok, 0, 0, report});
     }
     void run(Micros length) {
         for (const Micros until = now + length; now < until;) {
             now = timers_.empty() ? until : std::min(until, std::max(now, *timers_.begin()));
-            if (timers_.empty() || *timers_.begin() > now) continue;
+            if (timers_.empty() || *timers_.begin() > now)
+                continue;
             timers_.erase(timers_.begin());
             give(TimerDue{0});
         }
@@ -123,56 +128,63 @@
 
 TEST(Bound, StartsAtTwoAndExcessWaits) {
     Bench b(basic());
-    for (int k = 0; k < 7; ++k) b.ask(0);
+    for (int k = 0; k < 7; ++k)
+        b.ask(0);
     EXPECT_EQ(b.sent.size(), 2u);
-    EXPECT_DOUBLE_EQ(*b.scheduler.bound(NodeId{0}), 2);
+    EXPECT_DOUBLE_EQ(*b.scheduler.concurrency_limit(NodeId{0}), 2);
 }
 
 TEST(Bound, FollowsEquationSixOne) {
     Bench b(basic());
     const RequestId one = b.ask(0), two = b.ask(0);
     b.end(one, Status::Ok, 360 * kMs); // L = 1.2, two out with it: 2 / (1 + 0.8 * 0.2)
-    EXPECT_NEAR(*b.scheduler.bound(NodeId{0}), 2 / 1.16, 1e-9);
+    EXPECT_NEAR(*b.scheduler.concurrency_limit(NodeId{0}), 2 / 1.16, 1e-9);
     b.end(two, Status::Ok, 600 * kMs); // L = 1.6, one out: under the floor
-    EXPECT_DOUBLE_EQ(*b.scheduler.bound(NodeId{0}), 1);
+    EXPECT_DOUBLE_EQ(*b.scheduler.concurrency_limit(NodeId{0}), 1);
     b.end(b.ask(0), Status::Ok, 30 * kMs);
     b.end(b.ask(0), Status::Ok, 30 * kMs); // the mean of 1.2, 2, 0.1 and 0.1 is 0.85
-    EXPECT_NEAR(*b.scheduler.bound(NodeId{0}), 1 / 0.88, 1e-9);
+    EXPECT_NEAR(*b.scheduler.concurrency_limit(NodeId{0}), 1 / 0.88, 1e-9);
 }
 
 TEST(Bound, QuickErrorsDoNotRaiseIt) {
     Bench b(basic());
     std::vector<RequestId> ids;
-    for (int k = 0; k < 4; ++k) ids.push_back(b.ask(0));
+    for (int k = 0; k < 4; ++k)
+        ids.push_back(b.ask(0));
     b.end(ids[0], Status::Error, 1 * kMs);
-    EXPECT_LE(*b.scheduler.bound(NodeId{0}), 4); // L stays at the target: N_e, four
+    EXPECT_LE(*b.scheduler.concurrency_limit(NodeId{0}), 4); // L stays at the target: N_e, four
 }
 
 TEST(Bound, OverdueAttemptsLowerItWithoutAnAnswer) {
     Bench b(basic());
-    for (int k = 0; k < 2; ++k) b.ask(0);
+    for (int k = 0; k < 2; ++k)
+        b.ask(0);
     b.run(700 * kMs);
-    EXPECT_DOUBLE_EQ(*b.scheduler.bound(NodeId{0}), 1);
+    EXPECT_DOUBLE_EQ(*b.scheduler.concurrency_limit(NodeId{0}), 1);
 }
 
 TEST(Nodes, SilenceBringsDistrustAndOneTrialAtATime) {
     Bench b(basic());
-    for (int k = 0; k < 4; ++k) b.ask(0);
+    for (int k = 0; k < 4; ++k)
+        b.ask(0);
     b.run(1040 * kMs);
     EXPECT_TRUE(b.told("distrusted"));
     const auto before = b.sent.size();
-    for (int k = 0; k < 3; ++k) b.ask(0);
+    for (int k = 0; k < 3; ++k)
+        b.ask(0);
     b.run(200 * kMs);
     EXPECT_EQ(b.sent.size(), before + 1);
     b.end(b.sent.back().id);
     EXPECT_TRUE(b.told("trusted again"));
-    for (std::size_t k = 0; k < 2; ++k) b.end(b.sent[k].id); // what hung comes in after all
+    for (std::size_t k = 0; k < 2; ++k)
+        b.end(b.sent[k].id); // what hung comes in after all
     EXPECT_GT(b.sent.size(), before + 1);
 }
 
 TEST(Nodes, TrialIsASafeRequestWhereOneWaits) {
     Bench b(basic());
-    for (int k = 0; k < 4; ++k) b.ask(0);
+    for (int k = 0; k < 4; ++k)
+        b.ask(0);
     b.run(1100 * kMs);
     b.ask(0, 1);
     const RequestId safe = b.ask(0, 0);
@@ -238,15 +250,18 @@
             if (draw(4) == 0) {
                 ListUpdate full{ListUpdate::Kind::Full, {}};
                 for (int n = 0; n < 3; ++n)
-                    if (n != node) full.entries.push_back(Bench::entry(n, state));
+                    if (n != node)
+                        full.entries.push_back(Bench::entry(n, state));
                 b.give(full);
             } else {
                 b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(node, state)}});
             }
-            if (draw(2) == 0) out.push_back(b.ask(static_cast<int>(draw(3))));
+            if (draw(2) == 0)
+                out.push_back(b.ask(static_cast<int>(draw(3))));
             if (!out.empty() && draw(3) == 0) {
                 const RequestId id = out[draw(out.size())];
-                if (b.tries(id) > 0) b.end(id);
+                if (b.tries(id) > 0)
+                    b.end(id);
             }
             ASSERT_NO_THROW(b.run(static_cast<Micros>(draw(1500)) * kMs)) << "step " << step;
         }
@@ -269,7 +284,8 @@
     b.run(2 * kSecond);
     b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(0, NodeState::Ready, b.now)}});
     for (int k = 0; k < 5; ++k)
-        if (const RequestId id = b.ask(0, 0, 2); b.tries(id)) b.end(id);
+        if (const RequestId id = b.ask(0, 0, 2); b.tries(id))
+            b.end(id);
     EXPECT_EQ(b.sent.size(), 3u); // six of twelve units
     b.run(1100 * kMs);
     EXPECT_GT(b.sent.size(), 3u);
@@ -314,7 +330,8 @@
         const auto before = b.sent.size();
         const RequestId id = b.ask(0, 0, 4);
         units += 4.0 * static_cast<double>(b.sent.size() - before);
-        if (b.tries(id)) b.end(id);
+        if (b.tries(id))
+            b.end(id);
     }
     EXPECT_LE(units, 12);
 }
@@ -332,16 +349,16 @@
 TEST(Effects, AnUnsafeRequestThatNeverRanGoesAgain) {
     Bench b(basic());
     const RequestId id = b.ask(0, 1);
-    b.end(id, Status::Full);
+    b.end(id, Status::Rejected);
     b.run(50 * kMs);
     EXPECT_EQ(b.tries(id), 2u);
 }
 
 TEST(Effects, AKeyedRequestGoesAgainOnlyWithinItsWindow) {
     Settings s = basic();
-    s.classes[0].effect = Effect::Keyed;
-    s.classes[0].group = Group::Cell;
-    s.classes[0].repeat_window = 200 * kMs;
+    s.classes[0].idempotency = Idempotency::WithKey;
+    s.classes[0].deduplication_scope = DeduplicationScope::Cell;
+    s.classes[0].deduplication_window = 200 * kMs;
     Bench b(s);
     const RequestId soon = b.ask(0), late = b.ask(0);
     b.end(soon, Status::Error, 10 * kMs);
@@ -368,9 +385,9 @@
 
 TEST(Effects, FurtherAttemptsStayWithinTheBudget) {
     Settings s = basic();
-    s.budget_window = 5 * kSecond;
-    s.budget_free = 1;
-    s.budget_share = 0;
+    s.retry_budget_window = 5 * kSecond;
+    s.retry_budget_free = 1;
+    s.retry_budget_fraction = 0;
     Bench b(s);
     const RequestId one = b.ask(0), two = b.ask(0);
     b.end(one, Status::Error, 1 * kMs);
@@ -412,7 +429,7 @@
         bench.run(50 * kMs); // the repeat
         bench.end(RequestId{static_cast<std::uint64_t>(2 * n + 2)});
     }
-    EXPECT_DOUBLE_EQ(*bench.scheduler.bound(NodeId(0)), 2);
+    EXPECT_DOUBLE_EQ(*bench.scheduler.concurrency_limit(NodeId(0)), 2);
     const RequestId lost = bench.ask(0), other = bench.ask(0);
     bench.run(500 * kMs);
     bench.end(other, Status::Reset, 500 * kMs);
@@ -458,7 +475,7 @@
 
 TEST(Limit, AFreshHostStartsWithAnEmptyStoreAndFillsItsPart) {
     Settings s = limited();
-    s.classes[0].aim = 400 * kMs; // still within reach when the store has filled
+    s.classes[0].latency_objective = 400 * kMs; // still within reach when the store has filled
     Bench b(s);
     b.hosts = 2;
     const RequestId id = b.ask(0, 0, 1);
@@ -490,13 +507,14 @@
 // Asks past a volume's reserve and share, so that what comes next is spare work; nothing stays out.
 void spend(Bench &b) {
     for (int k = 0; k < 40; ++k)
-        if (const RequestId id = b.ask(1, 0, 4); b.tries(id)) b.end(id);
+        if (const RequestId id = b.ask(1, 0, 4); b.tries(id))
+            b.end(id);
 }
 
 TEST(Sight, AProbeIsSentWhereSpareWorkLacksEvidenceAndItsReportDecides) {
     Settings s = basic();
-    s.share_worth = 0.35;
-    s.spare_worth = 0.1;
+    s.share_priority_factor = 0.35;
+    s.surplus_priority_factor = 0.1;
     s.probes = true;
     for (const double inflight : {0.0, 200.0}) {
         Bench b(s);
@@ -517,11 +535,12 @@
     const auto bound_after = [&](const std::optional<LoadReport> &load, Micros length) {
         Bench b(s);
         b.report = load;
-        for (Micros t = 0; t < length; t += kSecond) b.end(b.ask(0), Status::Ok, 240 * kMs), b.run(kSecond);
+        for (Micros t = 0; t < length; t += kSecond)
+            b.end(b.ask(0), Status::Ok, 240 * kMs), b.run(kSecond);
         const RequestId one = b.ask(0), two = b.ask(0);
         b.end(one, Status::Ok, 390 * kMs);
         b.end(two, Status::Ok, 30 * kMs);
-        return *b.scheduler.bound(NodeId{0});
+        return *b.scheduler.concurrency_limit(NodeId{0});
     };
     const double without = bound_after({}, kSecond);
     for (const LoadReport &load :
@@ -534,13 +553,15 @@
 
 TEST(Queue, WorthierWorkGoesFirst) {
     Settings s = basic();
-    s.share_worth = 0.3;
-    s.spare_worth = 0.05;
-    s.classes[0].worth = 2;
-    s.classes.push_back({300 * kMs, 1500 * kMs, 0.2, 0.1, Effect::Safe, Group::All, 0, false, false});
+    s.share_priority_factor = 0.3;
+    s.surplus_priority_factor = 0.05;
+    s.classes[0].priority_weight = 2;
+    s.classes.push_back(
+        {300 * kMs, 1500 * kMs, 0.2, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, false, false});
     Bench b(s);
     std::vector<RequestId> first;
-    for (int k = 0; k < 2; ++k) first.push_back(b.ask(0));
+    for (int k = 0; k < 2; ++k)
+        first.push_back(b.ask(0));
     b.volume = 2;
     const RequestId cheap = b.ask(0, 2), dear = b.ask(0, 0);
     b.end(first[0], Status::Ok, 250 * kMs);
@@ -564,13 +585,14 @@
 
 TEST(Queue, SpareWorkWaitsWhileTheNodeIsNotQuiet) {
     Settings s = basic();
-    s.share_worth = 0.35;
-    s.spare_worth = 0.1;
+    s.share_priority_factor = 0.35;
+    s.surplus_priority_factor = 0.1;
     for (const Micros latency : {200 * kMs, 30 * kMs}) {
         Bench b(s);
         for (int k = 0; k < 40; ++k) { // past the volume's reserve and share
             const RequestId id = b.ask(1, 0, 4);
-            if (b.tries(id)) b.end(id, Status::Ok, 30 * kMs);
+            if (b.tries(id))
+                b.end(id, Status::Ok, 30 * kMs);
         }
         const std::uint64_t spender = b.volume;
         b.volume = 2;
@@ -592,7 +614,7 @@
     b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(0, NodeState::Draining)}});
     const RequestId first = b.ask(0, 0, 1, DataKey{8});
     b.run(400 * kMs); // past its aim
-    b.give(ClientLeft{first});
+    b.give(ClientDisconnected{first});
     b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(0)}});
     b.end(b.ask(0), Status::Ok, 240 * kMs);
     b.time_left = s.classes[0].deadline - kMs;
@@ -601,7 +623,8 @@
 
 TEST(Queue, LittleTimeLeftIsFreshWorkUnlessItRepeatsWhatEndedHere) {
     Bench b(basic());
-    for (const Micros latency : {240 * kMs, 240 * kMs}) b.end(b.ask(0), Status::Ok, latency); // L = 0.8
+    for (const Micros latency : {240 * kMs, 240 * kMs})
+        b.end(b.ask(0), Status::Ok, latency); // L = 0.8
     b.time_left = 180 * kMs;
     const RequestId fresh = b.ask(0, 0, 1, DataKey{7});
     ASSERT_EQ(b.tries(fresh), 1u);
@@ -610,7 +633,7 @@
     b.time_left = 0;
     const RequestId first = b.ask(0, 0, 1, DataKey{8});
     b.run(400 * kMs); // past its aim
-    b.give(ClientLeft{first});
+    b.give(ClientDisconnected{first});
     b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(0)}});
     b.end(b.ask(0), Status::Ok, 240 * kMs);
     b.time_left = 1000 * kMs;
@@ -622,9 +645,11 @@
 // waited.
 TEST(Queue, PatientWorkLeavesAPlaceToTightWork) {
     Settings s = basic();
-    s.classes.push_back({1500 * kMs, 5000 * kMs, 1, 0.1, Effect::Safe, Group::All, 0, false, false});
+    s.classes.push_back(
+        {1500 * kMs, 5000 * kMs, 1, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, false, false});
     Bench b(s);
-    for (int k = 0; k < 5; ++k) b.ask(0, 2);
+    for (int k = 0; k < 5; ++k)
+        b.ask(0, 2);
     EXPECT_EQ(b.sent.size(), 1u);
     EXPECT_EQ(b.tries(b.ask(0, 0)), 1u);
 }
@@ -662,8 +687,8 @@
 // connection that clients had, and 1,265 requests of others found none.
 TEST(Queue, BeyondWhatMayBeHeldTheLeastWorthIsRefusedAtOnce) {
     Settings s = basic();
-    s.spare_worth = 0.1;
-    s.most_held = 2;
+    s.surplus_priority_factor = 0.1;
+    s.max_queued_requests = 2;
     Bench b(s);
     const RequestId one = b.ask(0), two = b.ask(0); // out: the bound's places are taken
     const RequestId first = b.ask(0), second = b.ask(0);
@@ -671,7 +696,8 @@
     b.run(10 * kMs);
     const RequestId third = b.ask(0); // worth as much, due last
     ASSERT_EQ(b.refused, std::vector{third});
-    for (int k = 0; k < 30; ++k) b.ask(0, 0, 4); // spends the volume's reserve and share
+    for (int k = 0; k < 30; ++k)
+        b.ask(0, 0, 4); // spends the volume's reserve and share
     EXPECT_EQ(b.refused.size(), 31u);
     EXPECT_FALSE(Bench::has(b.refused, first) || Bench::has(b.refused, second));
     b.end(one), b.end(two);
@@ -681,7 +707,7 @@
     const RequestId dear = b.ask(0); // within its reserve: one of what is beyond goes for it
     EXPECT_FALSE(Bench::has(b.refused, dear));
     EXPECT_TRUE(Bench::has(b.refused, spare) || Bench::has(b.refused, more));
-    EXPECT_LE(b.scheduler.held().requests, s.most_held + 2); // and what is out
+    EXPECT_LE(b.scheduler.held().requests, s.max_queued_requests + 2); // and what is out
 }
 
 // Datagrams are priced: a turn is asked for only where the cold node's deal is what holds timely work back.
@@ -689,22 +715,25 @@
     for (const bool limited : {false, true}) {
         Settings s = basic();
         s.peers = true, s.hosts = 40, s.position = 7;
-        if (limited) s.plans[0].limit = 0.001, s.plans[0].limit_burst = 1;
+        if (limited)
+            s.plans[0].limit = 0.001, s.plans[0].limit_burst = 1;
         Bench b(s);
         b.run(3 * kSecond); // no fresh instance any more
         const Micros started = b.now - 2 * kSecond;
         b.give(ListUpdate{ListUpdate::Kind::Changes, {Bench::entry(0, NodeState::Ready, started)}});
-        for (int k = 0; k < 10; ++k) b.ask(0), b.run(50 * kMs);
+        for (int k = 0; k < 10; ++k)
+            b.ask(0), b.run(50 * kMs);
         EXPECT_EQ(b.told_peers > 0, !limited);
     }
 }
 
 TEST(Queue, WhatWasSentBeforeIsTheLastToBeShed) {
     Settings s = basic();
-    s.spare_worth = 0.1;
-    s.most_held = 1;
+    s.surplus_priority_factor = 0.1;
+    s.max_queued_requests = 1;
     Bench b(s);
-    for (int k = 0; k < 30; ++k) b.ask(1, 0, 4); // spends the volume's reserve and share elsewhere
+    for (int k = 0; k < 30; ++k)
+        b.ask(1, 0, 4); // spends the volume's reserve and share elsewhere
     const RequestId sent = b.ask(0);
     ASSERT_EQ(b.tries(sent), 1u);
     b.end(sent, Status::Error); // waits for its second attempt, and is worth little
@@ -724,7 +753,8 @@
 
 TEST(Queue, NewObjectsGoWhereTheLeastIsToDo) {
     Bench b(basic());
-    for (int k = 0; k < 6; ++k) b.ask(0);
+    for (int k = 0; k < 6; ++k)
+        b.ask(0);
     const RequestId id = b.ask(-1);
     EXPECT_EQ(b.attempts[id][0], NodeId{1});
 }
@@ -738,8 +768,10 @@
     for (int k = 0; k < 20; ++k) {
         b.run(kSecond / 2);
         const RequestId id = b.ask(-1);
-        if (b.tries(id) && b.attempts[id][0] == NodeId{0}) ++cold;
-        if (b.tries(id)) b.end(id, Status::Ok, 200 * kMs);
+        if (b.tries(id) && b.attempts[id][0] == NodeId{0})
+            ++cold;
+        if (b.tries(id))
+            b.end(id, Status::Ok, 200 * kMs);
     }
     EXPECT_GE(cold, 3);
 }
@@ -755,7 +787,8 @@
         ++chosen[b.attempts[id][0]];
     }
     EXPECT_EQ(chosen.size(), 10u);
-    for (const auto &[node, times] : chosen) EXPECT_LE(times, 50) << static_cast<std::uint32_t>(node);
+    for (const auto &[node, times] : chosen)
+        EXPECT_LE(times, 50) << static_cast<std::uint32_t>(node);
 }
 
 // A long value that has begun is the node's answer: its client is not refused at its deadline, no second copy
@@ -771,21 +804,23 @@
     }
     EXPECT_TRUE(b.refused.empty() && b.failed.empty() && b.cancelled.empty());
     EXPECT_EQ(b.tries(id), 1u);
-    EXPECT_FALSE(b.scheduler.avoids(NodeId{0}));
-    EXPECT_DOUBLE_EQ(*b.scheduler.bound(NodeId{0}), 2);
+    EXPECT_FALSE(b.scheduler.is_avoided(NodeId{0}));
+    EXPECT_DOUBLE_EQ(*b.scheduler.concurrency_limit(NodeId{0}), 2);
     b.give(AttemptEnded{id, 0, Status::Reset, 5 * kSecond, true, 0, 0, {}});
-    EXPECT_FALSE(b.scheduler.knows(id));
-    EXPECT_FALSE(b.scheduler.avoids(NodeId{0}));
+    EXPECT_FALSE(b.scheduler.tracks(id));
+    EXPECT_FALSE(b.scheduler.is_avoided(NodeId{0}));
 }
 
 // A node whose answers are quick has no full queue: what it turns away again and again says nothing of load.
 TEST(Bound, AQuickNodesRefusalsSayNothingOfItsLoad) {
     Bench b(basic());
-    for (int k = 0; k < 10; ++k) b.end(b.ask(0), Status::Ok, 30 * kMs);
-    for (int k = 0; k < 10; ++k) b.end(b.ask(0), Status::Full, 1 * kMs);
+    for (int k = 0; k < 10; ++k)
+        b.end(b.ask(0), Status::Ok, 30 * kMs);
+    for (int k = 0; k < 10; ++k)
+        b.end(b.ask(0), Status::Rejected, 1 * kMs);
     b.ask(0), b.ask(0);
     b.end(b.ask(0, 0, 1), Status::Ok, 30 * kMs, 0);
-    EXPECT_DOUBLE_EQ(*b.scheduler.bound(NodeId{0}), 2);
+    EXPECT_DOUBLE_EQ(*b.scheduler.concurrency_limit(NodeId{0}), 2);
 }
 
 // Guards against reads of a new object that bear a shard from before it was placed: turned away there, they
@@ -798,7 +833,7 @@
     const int other = placed == NodeId{0} ? 1 : 0;
     for (const std::uint64_t key : {7u, 8u}) { // placed here; never seen
         const RequestId read = b.ask(other, 0, 1, DataKey{key});
-        b.end(read, Status::Full, kMs);
+        b.end(read, Status::Rejected, kMs);
         b.run(100 * kMs);
         const NodeId next = key == 7 ? placed : NodeId(other);
         EXPECT_EQ(b.attempts.at(read), (std::vector<NodeId>{NodeId(other), next}));
@@ -812,14 +847,15 @@
     b.run(5 * kSecond);
     for (const NodeState state : {NodeState::Draining, NodeState::Ready}) {
         NodeEntry entry = Bench::entry(0, state);
-        entry.returned = state == NodeState::Ready;
+        entry.restored = state == NodeState::Ready;
         b.give(ListUpdate{ListUpdate::Kind::Changes, {entry}});
-        EXPECT_EQ(b.scheduler.avoids(NodeId{0}), state == NodeState::Draining);
+        EXPECT_EQ(b.scheduler.is_avoided(NodeId{0}), state == NodeState::Draining);
     }
     double units = 0;
     for (int k = 0; k < 40; ++k) {
         const RequestId id = b.ask(0);
-        if (b.tries(id)) b.end(id), units += 1;
+        if (b.tries(id))
+            b.end(id), units += 1;
     }
     EXPECT_GT(units, 0);
     EXPECT_LE(units, 12); // what a cold node bears in a window
@@ -848,22 +884,23 @@
         std::size_t sent = 0;
         for (int k = 0; k < n; ++k) {
             const RequestId id = b.ask(0);
-            if (b.tries(id)) b.end(id), ++sent;
+            if (b.tries(id))
+                b.end(id), ++sent;
         }
         return sent;
     };
     EXPECT_EQ(count(old, 3), 3u);
     Bench next(s, 1);
     next.now = old.now;
-    const Legacy legacy = old.scheduler.legacy();
-    next.give(legacy);
-    old.give(Retire{});
+    const HandoverState handover = old.scheduler.handover_state();
+    next.give(handover);
+    old.give(DrainForSuccessor{});
     const std::size_t both = count(next, 20) + count(old, 20);
     EXPECT_GE(both, 4u);
     EXPECT_LE(both, 5u); // 8 at once, less the 3
     old.run(kSecond);
     EXPECT_EQ(count(old, 5), 0u);
-    old.give(Retire{false}); // the successor has gone: nothing at once, but the limit's rate again
+    old.give(DrainForSuccessor{false}); // the successor has gone: nothing at once, but the limit's rate again
     EXPECT_EQ(count(old, 5), 0u);
     old.run(kSecond);
     EXPECT_GT(count(old, 5), 0u);
@@ -883,26 +920,26 @@
     rejects("hosts", [](Settings &s) { s.hosts = 0; });
     rejects("position", [](Settings &s) { s.position = 3; });
     rejects("classes", [](Settings &s) { s.classes.clear(); });
-    rejects("classes.aim", [](Settings &s) { s.classes[0].aim = 0; });
+    rejects("classes.aim", [](Settings &s) { s.classes[0].latency_objective = 0; });
     rejects("plans", [](Settings &s) { s.plans.clear(); });
     rejects("max_attempts", [](Settings &s) { s.max_attempts = 0; });
-    rejects("cold_from", [](Settings &s) { s.cold_from = 0; });
+    rejects("cold_from", [](Settings &s) { s.slow_start_initial_fraction = 0; });
 }
 
 TEST(Interface, OddEventsAreIgnored) {
     Bench b(basic());
     b.give(AttemptEnded{RequestId{99}, 0, Status::Ok, 0, true, 0, 0, {}});
-    b.give(ClientLeft{RequestId{99}});
+    b.give(ClientDisconnected{RequestId{99}});
     b.give(StreamStarted{RequestId{99}, 0});
     b.give(ProbeEnded{NodeId{99}, Status::Ok, 0, {}});
     b.give(PeerMessage{1, "hello"});
     b.give(TimerDue{77});
     const RequestId id = b.ask(0);
     b.give(AttemptEnded{id, 5, Status::Ok, 0, false, 0, 0, {}});
-    EXPECT_TRUE(b.scheduler.knows(id));
-    b.give(ClientLeft{id});
+    EXPECT_TRUE(b.scheduler.tracks(id));
+    b.give(ClientDisconnected{id});
     b.end(id);
-    EXPECT_FALSE(b.scheduler.knows(id));
+    EXPECT_FALSE(b.scheduler.tracks(id));
     EXPECT_TRUE(b.refused.empty() && b.failed.empty());
 }
 
@@ -922,7 +959,8 @@
         b.volume = static_cast<std::uint64_t>(k);
         const RequestId id = b.ask(k % 2, k % 2, 1, DataKey(static_cast<std::uint64_t>(k)));
         b.run(10 * kMs);
-        if (b.tries(id)) b.end(id);
+        if (b.tries(id))
+            b.end(id);
     }
     b.run(3 * kSecond);
     const auto held = b.scheduler.held();
@@ -939,21 +977,21 @@
     s.cancel = true;
     Bench b(s, 1);
     const RequestId waits = b.ask(5); // no node has the shard
-    b.give(Withdraw{waits});
+    b.give(AnswerNow{waits});
     EXPECT_TRUE(Bench::has(b.refused, waits) && b.tries(waits) == 0);
     const RequestId read = b.ask(0, 0), write = b.ask(0, 1);
     ASSERT_TRUE(b.tries(read) == 1 && b.tries(write) == 1);
-    b.give(Withdraw{read});
-    b.give(Withdraw{write}); // it may have run, and may not run twice
+    b.give(AnswerNow{read});
+    b.give(AnswerNow{write}); // it may have run, and may not run twice
     EXPECT_TRUE(Bench::has(b.refused, read) && Bench::has(b.failed, write));
     EXPECT_TRUE(Bench::has(b.cancelled, read) && Bench::has(b.cancelled, write));
     const std::size_t answers = b.refused.size() + b.failed.size();
-    b.give(Withdraw{read});
-    b.give(Withdraw{RequestId{99}});
+    b.give(AnswerNow{read});
+    b.give(AnswerNow{RequestId{99}});
     b.end(write, Status::Cancelled);
     b.run(5 * kSecond);
     EXPECT_EQ(b.refused.size() + b.failed.size(), answers); // once each
-    EXPECT_FALSE(b.scheduler.knows(write));
+    EXPECT_FALSE(b.scheduler.tracks(write));
 }
 
 // A value that is being passed on goes on.
@@ -962,10 +1000,10 @@
     const RequestId read = b.ask(0);
     ASSERT_EQ(b.tries(read), 1u);
     b.give(StreamStarted{read, 0});
-    b.give(Withdraw{read});
+    b.give(AnswerNow{read});
     EXPECT_FALSE(Bench::has(b.refused, read) || Bench::has(b.failed, read) || Bench::has(b.cancelled, read));
     b.end(read);
-    EXPECT_FALSE(b.scheduler.knows(read));
+    EXPECT_FALSE(b.scheduler.tracks(read));
 }
 
 } // namespace
--- a/tests/pushed_test.cpp
+++ b/tests/pushed_test.cpp
@@ -27,9 +27,11 @@
 }
 // Until a request of the shard is no longer sent, within the time that drains allow; then it stays so.
 void awaits_no_more(const Program &program, int shard, const RespNode &node, Clock::time_point told) {
-    while (Clock::now() - told < 250ms) std::this_thread::sleep_for(10ms);
+    while (Clock::now() - told < 250ms)
+        std::this_thread::sleep_for(10ms);
     const auto before = node.taken().size();
-    for (int n = 0; n < 3; ++n) assert(ask(program, shard).starts_with("BUSY"));
+    for (int n = 0; n < 3; ++n)
+        assert(ask(program, shard).starts_with("BUSY"));
     assert(node.taken().size() == before);
 }
 void awaits_calls(const Discovery &discovery, int calls) {
@@ -99,8 +101,8 @@
     const int port = agent->port();
     const std::string known = agent->known();
     agent.reset();
-    const Discovery elsewhere(member("s-1", node.server.port, 0));
-    const Program program(elsewhere, "", pushed());
+    const Discovery remote_units(member("s-1", node.server.port, 0));
+    const Program program(remote_units, "", pushed());
     // Moved to where nobody listens, then somebody does.
     program.configure(port, known, pushed());
     program.signal(SIGHUP);
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -28,7 +28,8 @@
 
 void pipelined_answers_keep_their_order() {
     RespNode node([](const auto &words, int) {
-        if (words[1].ends_with("1")) std::this_thread::sleep_for(200ms);
+        if (words[1].ends_with("1"))
+            std::this_thread::sleep_for(200ms);
         return RespNode::served(words[1]);
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -45,7 +46,8 @@
 void a_connection_closed_by_the_node_is_not_used() {
     std::atomic<int> answered = 0;
     Server node([&](Socket &s) {
-        if (!s.value()) return;
+        if (!s.value())
+            return;
         ++answered;
         s.send(RespNode::served("once")); // and closes
     });
@@ -122,7 +124,8 @@
     Discovery discovery(member("s-1", node.server.port, 0));
     discovery.failures = 2;
     const Program program(discovery);
-    while (discovery.calls < 3) std::this_thread::sleep_for(20ms);
+    while (discovery.calls < 3)
+        std::this_thread::sleep_for(20ms);
     Socket client = program.client();
     client.send(get(kPiece));
     assert(client.value()->text == "v");
@@ -162,7 +165,8 @@
 
 void a_client_that_leaves_harms_nobody() {
     RespNode node([](const auto &, int nth) {
-        if (nth == 1) std::this_thread::sleep_for(300ms);
+        if (nth == 1)
+            std::this_thread::sleep_for(300ms);
         return RespNode::served("v");
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -219,7 +223,8 @@
 // answer by then.
 void a_planned_end_serves_until_it_may_be_forced() {
     RespNode node([](const auto &words, int) {
-        if (words[1] == "00000000000000aa") std::this_thread::sleep_for(4s);
+        if (words[1] == "00000000000000aa")
+            std::this_thread::sleep_for(4s);
         return RespNode::served("v");
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -251,7 +256,8 @@
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery); // told of 256 descriptors
     std::list<Socket> crowd;
-    for (int n = 0; n < 400; ++n) crowd.push_back(program.client());
+    for (int n = 0; n < 400; ++n)
+        crowd.push_back(program.client());
     Socket client = program.client();
     client.send(get(kPiece));
     assert(client.value()->text == "v" && program.running());
@@ -274,7 +280,8 @@
     program.configure(after);
     program.signal(SIGHUP);
     assert(client.value()->text == "first");
-    while (after.calls < 2) std::this_thread::sleep_for(10ms); // the whole list, then a watch
+    while (after.calls < 2)
+        std::this_thread::sleep_for(10ms); // the whole list, then a watch
     client.send(get(kPiece, 1));
     assert(client.value()->text == "second");
     before.change(member("s-2", next.server.port, 1, "draining")); // not heard any more
@@ -305,9 +312,11 @@
     line.send("*4\r\n$");
     line.send(std::string(5000, '1'));
     huge.send("*5\r\n$7\r\nOBJ.PUT\r\n$62914560\r\n");
-    for (Socket *s : {&half, &line, &huge}) assert(s->value()->text.starts_with("ERR Protocol error"));
+    for (Socket *s : {&half, &line, &huge})
+        assert(s->value()->text.starts_with("ERR Protocol error"));
     assert(pings.value()->text == "PONG");
-    for (Socket *s : {&silent, &pings, &half, &line, &huge}) assert(s->ended());
+    for (Socket *s : {&silent, &pings, &half, &line, &huge})
+        assert(s->ended());
     assert(std::chrono::steady_clock::now() - from < 3s);
 
     std::list<Socket> crowd; // 9 MB of parts; a quarter of 16 MB is for what is held
@@ -317,7 +326,8 @@
         crowd.back().send(std::string(59000, 'x'));
     }
     int refused = 0;
-    for (Socket &s : crowd) refused += s.value()->text == "ERR Protocol error: no room for it";
+    for (Socket &s : crowd)
+        refused += s.value()->text == "ERR Protocol error: no room for it";
     assert(refused >= 40 && program.running());
 }
 
@@ -327,7 +337,8 @@
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
     Socket client = program.client();
-    for (const char byte : put(kPiece, "body\r\n")) client.send({&byte, 1});
+    for (const char byte : put(kPiece, "body\r\n"))
+        client.send({&byte, 1});
     assert(client.value()->text == "v" && node.taken()[0][4] == "body\r\n");
 }
 
@@ -425,7 +436,8 @@
                             member(fmt::format("a-node-with-quite-a-long-name-{}-{}", n, k), 1 + k, k % 9));
         discovery.change(members);
         discovery.await_taken();
-        if (n == 10) early = program.memory_kb();
+        if (n == 10)
+            early = program.memory_kb();
     }
     assert(program.memory_kb() < early + 2 * 1024);
 }
@@ -446,7 +458,8 @@
         }
     }
     int left = 0;
-    for (Socket &s : stay) left += s.silent_for(0);
+    for (Socket &s : stay)
+        left += s.silent_for(0);
     assert(left >= 50 && left < 85);
     busy.send(get(kPiece));
     assert(busy.value()->text == "v");
@@ -464,7 +477,8 @@
         crowd.back().send(get(kPiece));
         assert(crowd.back().value()->text == "v");
     }
-    for (int n = 0; n < 20; ++n) newcomers.push_back(program.client());
+    for (int n = 0; n < 20; ++n)
+        newcomers.push_back(program.client());
     for (Socket &s : newcomers) {
         s.send(get(kPiece));
         const auto v = s.value();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -53,29 +53,33 @@
     explicit World(std::uint32_t seed) : random_(seed), hosts_(static_cast<std::size_t>(pick(1, 4))) {
         settings_.hosts = static_cast<int>(hosts_.size());
         settings_.classes = {
-            {300'000, 1'500'000, 2, 0.1, Effect::Safe, Group::All, 0, chance(0.3), false},
-            {400'000, 2'000'000, 2, 0.2, Effect::Unsafe, Group::All, 0, true, false},
-            {400'000, 2'000'000, 1, 0.2, Effect::Keyed, Group(pick(0, 2)), 600'000, false, false}};
+            {300'000, 1'500'000, 2, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, chance(0.3),
+             false},
+            {400'000, 2'000'000, 2, 0.2, Idempotency::NotIdempotent, DeduplicationScope::All, 0, true, false},
+            {400'000, 2'000'000, 1, 0.2, Idempotency::WithKey, DeduplicationScope(pick(0, 2)), 600'000, false,
+             false}};
         settings_.plans = {{10, 5, 1, 1, 0, 0, 0}, {10, 3, 1, 1, 15, 40, 4}};
         settings_.max_attempts = pick(1, 4);
-        settings_.second_copies = chance(0.5);
+        settings_.hedging = chance(0.5);
         settings_.cancel = chance(0.7);
-        settings_.ask_for_list = chance(0.3);
+        settings_.poll_endpoint_list = chance(0.3);
         settings_.answer_slack = 8000;
         settings_.drain_grace = 250'000;
-        settings_.ask_within = 10'000'000;
-        settings_.fall_window = 1'000'000;
-        settings_.warm_after = 8'000'000;
-        settings_.cold_from = 0.2;
-        settings_.cold_units = 24;
-        settings_.order_settle = 150'000;
-        settings_.most_units = 4;
-        settings_.mean_units = 2;
+        settings_.list_poll_interval = 10'000'000;
+        settings_.slow_start_window = 1'000'000;
+        settings_.slow_start_duration = 8'000'000;
+        settings_.slow_start_initial_fraction = 0.2;
+        settings_.slow_start_units = 24;
+        settings_.ordering_settle_time = 150'000;
+        settings_.max_request_units = 4;
+        settings_.mean_request_units = 2;
         if (chance(0.5))
-            settings_.budget_window = 2'000'000, settings_.budget_free = 3, settings_.budget_share = 0.1;
+            settings_.retry_budget_window = 2'000'000, settings_.retry_budget_free = 3,
+            settings_.retry_budget_fraction = 0.1;
         for (int n = 0; n < 6; ++n)
             entries_.push_back({NodeId(n), ShardId(n % 4), ZoneId(n % 2), NodeState::Ready, 0});
-        for (std::size_t h = 0; h < hosts_.size(); ++h) boot(h);
+        for (std::size_t h = 0; h < hosts_.size(); ++h)
+            boot(h);
     }
 
     void play(int steps) {
@@ -84,17 +88,22 @@
             for (std::size_t h = 0; h < hosts_.size(); ++h) {
                 fire_timers(h);
                 fire_outcomes(h);
-                for (int k = pick(0, 3); k > 2; --k) arrive(h);
+                for (int k = pick(0, 3); k > 2; --k)
+                    arrive(h);
             }
-            if (pick(0, 999) < 4) change_node();
-            if (pick(0, 1999) < 2) boot(static_cast<std::size_t>(pick(0, settings_.hosts - 1)));
-            if (pick(0, 299) == 0) mood_ = pick(0, 3);
+            if (pick(0, 999) < 4)
+                change_node();
+            if (pick(0, 1999) < 2)
+                boot(static_cast<std::size_t>(pick(0, settings_.hosts - 1)));
+            if (pick(0, 299) == 0)
+                mood_ = pick(0, 3);
             check_answers();
         }
         // Let everything end: nothing may stay open, nothing may be held.
         for (int step = 0; step < 800; ++step) {
             now_ += 5000;
-            for (std::size_t h = 0; h < hosts_.size(); ++h) fire_timers(h), fire_outcomes(h);
+            for (std::size_t h = 0; h < hosts_.size(); ++h)
+                fire_timers(h), fire_outcomes(h);
             check_answers();
         }
         for (const Host &host : hosts_) {
@@ -139,7 +148,8 @@
             e.started = now_;
             spent_[e.node].clear();
         }
-        for (std::size_t h = 0; h < hosts_.size(); ++h) tell(h, ListUpdate{ListUpdate::Kind::Changes, {e}});
+        for (std::size_t h = 0; h < hosts_.size(); ++h)
+            tell(h, ListUpdate{ListUpdate::Kind::Changes, {e}});
     }
 
     void arrive(std::size_t h) {
@@ -150,14 +160,17 @@
         in.volume = VolumeId(pick(0, 5));
         in.plan = static_cast<int>(in.volume) % 2;
         in.hosts = settings_.hosts;
-        if (!chance(0.2)) in.key = DataKey(pick(0, 12));
-        if (!chance(0.2)) in.shard = ShardId(pick(0, 4));
+        if (!chance(0.2))
+            in.key = DataKey(pick(0, 12));
+        if (!chance(0.2))
+            in.shard = ShardId(pick(0, 4));
         in.units = pick(1, 4);
         const Micros deadline = settings_.classes[static_cast<std::size_t>(in.cls)].deadline;
         in.time_left = chance(0.9) ? deadline : chance(0.5) ? deadline / pick(2, 40) : 0;
         host.taken.push_back(now_);
         host.items[in.id] = {in, now_, false, false, {}};
-        if (ordered(in)) host.lines[*in.key].push_back(in.id);
+        if (ordered(in))
+            host.lines[*in.key].push_back(in.id);
         handle(h, in);
     }
     bool ordered(const RequestArrived &in) const {
@@ -171,7 +184,8 @@
             due.push_back(host.timers.begin()->second);
             host.timers.erase(host.timers.begin());
         }
-        for (const auto token : due) handle(h, TimerDue{token});
+        for (const auto token : due)
+            handle(h, TimerDue{token});
     }
 
     void fire_outcomes(std::size_t h) {
@@ -179,7 +193,8 @@
         std::vector<std::pair<RequestId, int>> out;
         for (auto &[id, item] : host.items)
             for (std::size_t k = 0; k < item.tries.size(); ++k)
-                if (item.tries[k].out) out.emplace_back(id, static_cast<int>(k));
+                if (item.tries[k].out)
+                    out.emplace_back(id, static_cast<int>(k));
         for (const auto &[id, k] : out) {
             Item &item = host.items.at(id);
             Try &t = item.tries[static_cast<std::size_t>(k)];
@@ -191,12 +206,13 @@
             else if (mood_ == 1)
                 status = std::array{Status::Error, Status::Reset, Status::Ok}[std::size_t(pick(0, 2))];
             else if (mood_ == 2)
-                status = std::array{Status::Full, Status::ConnectFailed}[std::size_t(pick(0, 1))];
+                status = std::array{Status::Rejected, Status::ConnectFailed}[std::size_t(pick(0, 1))];
             t.out = false;
-            t.ran = status != Status::Full && status != Status::ConnectFailed;
+            t.ran = status != Status::Rejected && status != Status::ConnectFailed;
             if (ordered(item.in) && (status == Status::Timeout || status == Status::Reset))
-                host.rests[*item.in.key] = now_ + settings_.order_settle;
-            if (status == Status::Ok && !item.answered) item.answered = true, ++answers;
+                host.rests[*item.in.key] = now_ + settings_.ordering_settle_time;
+            if (status == Status::Ok && !item.answered)
+                item.answered = true, ++answers;
             handle(h, AttemptEnded{id, k, status, now_ - t.sent, item.answered || item.left, 0, 0, {}});
         }
     }
@@ -226,7 +242,8 @@
                 ASSERT_TRUE(settings_.cancel);
                 Item &item = host.items.at(cancel->id);
                 Try &t = item.tries.at(static_cast<std::size_t>(cancel->attempt));
-                if (t.out) t.expires = now_;
+                if (t.out)
+                    t.expires = now_;
             }
         }
     }
@@ -239,9 +256,10 @@
         const ClassSettings &cls = settings_.classes[static_cast<std::size_t>(item.in.cls)];
         EXPECT_LE(now_, item.taken + item.in.time_left + settings_.answer_slack + kCoarse)
             << "rule 1: late answer";
-        if (refusal && cls.effect == Effect::Unsafe)
+        if (refusal && cls.idempotency == Idempotency::NotIdempotent)
             EXPECT_FALSE(item.any_ran()) << "rule 2: refused after a run";
-        if (refusal && cls.effect == Effect::Keyed && cls.group != Group::All)
+        if (refusal && cls.idempotency == Idempotency::WithKey &&
+            cls.deduplication_scope != DeduplicationScope::All)
             EXPECT_FALSE(item.any_ran()) << "rule 2: keyed refused after a run";
     }
 
@@ -252,47 +270,56 @@
         const ClassSettings &cls = settings_.classes[static_cast<std::size_t>(item.in.cls)];
         const NodeEntry &entry = entries_.at(static_cast<std::size_t>(send.node));
         EXPECT_FALSE(item.answered) << "rule 1: sent after its end";
-        if (item.in.shard && item.tries.empty()) EXPECT_EQ(*item.in.shard, entry.shard);
+        if (item.in.shard && item.tries.empty())
+            EXPECT_EQ(*item.in.shard, entry.shard);
         EXPECT_LT(item.tries.size(), static_cast<std::size_t>(settings_.max_attempts));
-        EXPECT_FALSE(item.any_out() && !settings_.second_copies) << "rule 2: two at once";
-        if (cls.effect == Effect::Unsafe) EXPECT_FALSE(item.any_ran()) << "rule 2: unsafe sent again";
-        if (cls.effect == Effect::Keyed)
+        EXPECT_FALSE(item.any_out() && !settings_.hedging) << "rule 2: two at once";
+        if (cls.idempotency == Idempotency::NotIdempotent)
+            EXPECT_FALSE(item.any_ran()) << "rule 2: unsafe sent again";
+        if (cls.idempotency == Idempotency::WithKey)
             for (const Try &t : item.tries)
                 if (t.ran) {
-                    EXPECT_LE(now_, t.sent + cls.repeat_window) << "rule 2: outside the window";
+                    EXPECT_LE(now_, t.sent + cls.deduplication_window) << "rule 2: outside the window";
                     const NodeEntry &first = entries_.at(static_cast<std::size_t>(t.node));
-                    if (cls.group == Group::Zone) EXPECT_EQ(first.zone, entry.zone);
-                    if (cls.group == Group::Cell) EXPECT_EQ(first.shard, entry.shard);
+                    if (cls.deduplication_scope == DeduplicationScope::Zone)
+                        EXPECT_EQ(first.zone, entry.zone);
+                    if (cls.deduplication_scope == DeduplicationScope::Cell)
+                        EXPECT_EQ(first.shard, entry.shard);
                 }
         if (const auto told = host.told.find(send.node); told != host.told.end())
             EXPECT_LE(now_, told->second + settings_.drain_grace) << "rule 3";
         if (entry.started > 0 &&
-            now_ < entry.started + settings_.warm_after) { // rule 4, at the stated growth
+            now_ < entry.started + settings_.slow_start_duration) { // rule 4, at the stated growth
             auto &spent = spent_[send.node];
             spent.emplace_back(now_, item.in.units);
             double sum = 0;
             for (const auto &[at, units] : spent)
-                if (at > now_ - settings_.fall_window) sum += units;
-            const double part = settings_.cold_from + (1 - settings_.cold_from) *
-                                                          static_cast<double>(now_ - entry.started) /
-                                                          static_cast<double>(settings_.warm_after);
-            EXPECT_LE(sum, settings_.cold_units * part / settings_.cold_from + 1e-6) << "rule 4";
+                if (at > now_ - settings_.slow_start_window)
+                    sum += units;
+            const double part = settings_.slow_start_initial_fraction +
+                                (1 - settings_.slow_start_initial_fraction) *
+                                    static_cast<double>(now_ - entry.started) /
+                                    static_cast<double>(settings_.slow_start_duration);
+            EXPECT_LE(sum, settings_.slow_start_units * part / settings_.slow_start_initial_fraction + 1e-6)
+                << "rule 4";
         }
         if (ordered(item.in)) {
             for (const RequestId before : host.lines[*item.in.key]) {
-                if (before == send.id) break;
+                if (before == send.id)
+                    break;
                 const Item &earlier = host.items.at(before);
                 EXPECT_TRUE(earlier.answered && !earlier.any_out()) << "rule 5: out of turn";
             }
-            if (item.tries.empty()) EXPECT_GE(now_, host.rests[*item.in.key]) << "rule 5: no rest";
+            if (item.tries.empty())
+                EXPECT_GE(now_, host.rests[*item.in.key]) << "rule 5: no rest";
         }
-        if (!item.tries.empty() && settings_.budget_window > 0) {
+        if (!item.tries.empty() && settings_.retry_budget_window > 0) {
             host.further.push_back(now_);
-            const auto in_window = [&](Micros t) { return t > now_ - settings_.budget_window; };
+            const auto in_window = [&](Micros t) { return t > now_ - settings_.retry_budget_window; };
             EXPECT_LE(static_cast<double>(std::count_if(host.further.begin(), host.further.end(), in_window)),
-                      settings_.budget_free +
-                          settings_.budget_share * static_cast<double>(std::count_if(
-                                                       host.taken.begin(), host.taken.end(), in_window)))
+                      settings_.retry_budget_free + settings_.retry_budget_fraction *
+                                                        static_cast<double>(std::count_if(
+                                                            host.taken.begin(), host.taken.end(), in_window)))
                 << "rule 6";
         }
         const PlanSettings &plan = settings_.plans[static_cast<std::size_t>(item.in.plan)];
@@ -343,16 +370,17 @@
     Fleet(std::uint32_t seed, int hosts, int believed = 0)
         : random_(seed), hosts_(static_cast<std::size_t>(hosts)) {
         settings_.hosts = believed > 0 ? believed : hosts;
-        settings_.classes = {{300'000, 1'500'000, 2, 0.1, Effect::Safe, Group::All, 0, false, false}};
+        settings_.classes = {
+            {300'000, 1'500'000, 2, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, false, false}};
         settings_.plans = {{10, 5, 1, 1, 0, 0, 0}, {10, 3, 1, 1, 60, 6.0 * 2 * 24, 6}};
         settings_.max_attempts = 3;
         settings_.answer_slack = 8000;
-        settings_.fall_window = 1'000'000;
-        settings_.warm_after = 17'000'000;
-        settings_.cold_from = 0.16;
-        settings_.cold_units = 18;
-        settings_.most_units = 6;
-        settings_.mean_units = 2;
+        settings_.slow_start_window = 1'000'000;
+        settings_.slow_start_duration = 17'000'000;
+        settings_.slow_start_initial_fraction = 0.16;
+        settings_.slow_start_units = 18;
+        settings_.max_request_units = 6;
+        settings_.mean_request_units = 2;
         for (std::size_t h = 0; h < hosts_.size(); ++h) {
             hosts_[h].skew = pick(0, 50'000);
             boot(h, {NodeId{0}, ShardId{0}, ZoneId{0}, NodeState::Ready, 0});
@@ -363,7 +391,8 @@
     void talk(int lost, int doubled, int latest) {
         lost_ = lost, doubled_ = doubled, latest_ = latest;
         settings_.peers = true;
-        for (std::size_t h = 0; h < hosts_.size(); ++h) boot(h, old_entry());
+        for (std::size_t h = 0; h < hosts_.size(); ++h)
+            boot(h, old_entry());
     }
     // All hosts always have work for shard 0. The node is down from 2 s to 4 s; its start is listed at each
     // host between 1 s before it (a host that hears early sees it refuse connects) and 4 s after, at some
@@ -371,7 +400,8 @@
     // same start.
     void play_cold_start(Micros length, bool leaves = false) {
         start_ = begin_ + 4'000'000;
-        for (auto &host : hosts_) host.listed = pick(0, 9) ? start_ + pick(0, 4'000'000) : INT64_MAX;
+        for (auto &host : hosts_)
+            host.listed = pick(0, 9) ? start_ + pick(0, 4'000'000) : INT64_MAX;
         down_from_ = begin_ + 2'000'000;
         play(length, [&](std::size_t h) {
             Host &host = hosts_[h];
@@ -383,13 +413,15 @@
                 handle(h, ListUpdate{ListUpdate::Kind::Changes, {gone}});
                 handle(h, ListUpdate{ListUpdate::Kind::Changes, {entry()}});
             }
-            if (pick(0, 19'999) == 0) boot(h, now_ >= host.listed ? entry() : old_entry());
+            if (pick(0, 19'999) == 0)
+                boot(h, now_ >= host.listed ? entry() : old_entry());
         });
     }
 
     // The node drains; each host is told at a time of its own, and some are restarted meanwhile.
     void play_drain(Micros length) {
-        for (auto &host : hosts_) host.listed = now_ + pick(0, static_cast<int>(length / 2));
+        for (auto &host : hosts_)
+            host.listed = now_ + pick(0, static_cast<int>(length / 2));
         play(length, [&](std::size_t h) {
             Host &host = hosts_[h];
             NodeEntry draining = old_entry();
@@ -413,7 +445,8 @@
     void play_limit(Micros length, int through) {
         limited_hosts_ = through;
         play(length, [&](std::size_t h) {
-            if (pick(0, 4999) == 0 && h < static_cast<std::size_t>(through)) boot(h, old_entry());
+            if (pick(0, 4999) == 0 && h < static_cast<std::size_t>(through))
+                boot(h, old_entry());
         });
     }
 
@@ -422,23 +455,26 @@
         double worst = 0, sum = 0;
         std::deque<Sent> window;
         for (const Sent &s : sent) {
-            if (!s.informed) continue;
+            if (!s.informed)
+                continue;
             window.push_back(s);
             sum += s.units;
-            for (; window.front().at <= s.at - settings_.fall_window; window.pop_front())
+            for (; window.front().at <= s.at - settings_.slow_start_window; window.pop_front())
                 sum -= window.front().units;
-            const double warm = std::max(0.0, static_cast<double>(s.at - settings_.fall_window - start_)) /
-                                static_cast<double>(settings_.warm_after);
+            const double warm =
+                std::max(0.0, static_cast<double>(s.at - settings_.slow_start_window - start_)) /
+                static_cast<double>(settings_.slow_start_duration);
             if (warm < 1)
-                worst = std::max(worst,
-                                 sum / (settings_.cold_units * (1 + (1 / settings_.cold_from - 1) * warm)));
+                worst = std::max(worst, sum / (settings_.slow_start_units *
+                                               (1 + (1 / settings_.slow_start_initial_fraction - 1) * warm)));
         }
         return worst;
     }
     double units(Micros from, Micros to, bool informed) const {
         double sum = 0;
         for (const Sent &s : sent)
-            if (s.at - begin_ >= from && s.at - begin_ < to && s.informed >= informed) sum += s.units;
+            if (s.at - begin_ >= from && s.at - begin_ < to && s.informed >= informed)
+                sum += s.units;
         return sum;
     }
     std::size_t sends(Micros from, Micros to) const {
@@ -535,8 +571,9 @@
                 host.coming.emplace(
                     now_ + took,
                     AttemptEnded{send->id, tries++, status, took, !failing_ && !down(), 0, 0, {}});
-                if (limited_hosts_ == 0 || tries == 1) sent.push_back({now_, units, host.informed});
-            } else if (const auto *word = std::get_if<TellPeers>(&action)) {
+                if (limited_hosts_ == 0 || tries == 1)
+                    sent.push_back({now_, units, host.informed});
+            } else if (const auto *word = std::get_if<SendPeerMessage>(&action)) {
                 ++words;
                 for (int copies = pick(0, 99) < lost_      ? 0
                                   : pick(0, 99) < doubled_ ? 2
@@ -571,7 +608,8 @@
 TEST_P(Fleets, HoldTheWindowsOfANodeThatLeavesTheListAndComesBack) {
     for (const bool talk : {false, true}) {
         Fleet fleet(static_cast<std::uint32_t>(GetParam()), GetParam());
-        if (talk) fleet.talk(10, 10, 100'000);
+        if (talk)
+            fleet.talk(10, 10, 100'000);
         fleet.play_cold_start(20'000'000, true);
         EXPECT_LE(fleet.worst_cold_window(), 1.0 + 1e-9) << talk;
         EXPECT_GT(fleet.units(8'000'000, 20'000'000, true), 40) << talk;
@@ -587,7 +625,8 @@
         fleet.talk(lost, doubled, latest);
         fleet.play_cold_start(20'000'000);
         EXPECT_LE(fleet.worst_cold_window(), 1.0 + 1e-9) << lost;
-        if (lost < 60) used[lost > 0] = fleet.units(8'000'000, 20'000'000, true), words += fleet.words;
+        if (lost < 60)
+            used[lost > 0] = fleet.units(8'000'000, 20'000'000, true), words += fleet.words;
     }
     Fleet alone(static_cast<std::uint32_t>(GetParam()), GetParam());
     alone.play_cold_start(20'000'000);
--- a/tests/shutdown_soak.cpp
+++ b/tests/shutdown_soak.cpp
@@ -30,8 +30,10 @@
 public:
     TroubledNode(milliseconds time, int trouble_each, unsigned seed)
         : draw_(seed), node_([this, time, trouble_each](const auto &words, int) {
-              while (hangs_ && !over_) std::this_thread::sleep_for(1ms);
-              if (over_) return std::string();
+              while (hangs_ && !over_)
+                  std::this_thread::sleep_for(1ms);
+              if (over_)
+                  return std::string();
               std::this_thread::sleep_for(time);
               return answer(words[2], trouble_each);
           }) {}
@@ -42,7 +44,8 @@
 private:
     std::string answer(const std::string &id, int trouble_each) {
         const std::lock_guard lock(mutex_);
-        if (!draw_.one_in(trouble_each)) return RespNode::served(id);
+        if (!draw_.one_in(trouble_each))
+            return RespNode::served(id);
         return draw_.of<std::string>({"-BUSY\r\n", "-ERR failed\r\n", ""}); // the last: it breaks off
     }
 
@@ -70,7 +73,8 @@
                 const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
                 const sockaddr_in at = local(port);
                 Socket socket(fd);
-                if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) != 0) break;
+                if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) != 0)
+                    break;
                 idle.push_back(std::move(socket));
             }
         }
@@ -99,10 +103,12 @@
         add(at, [&program, number] { program.signal(number); });
     }
     for (const auto &node : nodes) {
-        if (draw.one_in(3)) continue;
+        if (draw.one_in(3))
+            continue;
         const int from = draw.between(-longest_ms, kill_ms);
         add(from, [&node] { node->hang(true); });
-        if (draw.one_in(3)) add(draw.between(from, kill_ms), [&node] { node->hang(false); });
+        if (draw.one_in(3))
+            add(draw.between(from, kill_ms), [&node] { node->hang(false); });
     }
     if (draw.one_in(3)) { // held up for as long as the page allows
         const int from = draw.between(-50, kill_ms - 200);
@@ -126,7 +132,8 @@
         habits.pieces = static_cast<std::size_t>(draw.between(2, 5));
         habits.between = std::chrono::microseconds(draw.of({100, 3'000, 30'000, 200'000}));
     }
-    if (draw.one_in(4)) habits.requests = draw.between(1, 3);
+    if (draw.one_in(4))
+        habits.requests = draw.between(1, 3);
     habits.reconnects = habits.requests > 0 || draw.one_in(2);
     return habits;
 }
@@ -148,7 +155,8 @@
     RequestTally tally;
     std::optional<Crowd> crowd;
     const bool crowded = draw.one_in(4);
-    if (crowded) crowd.emplace(program.port, 400);
+    if (crowded)
+        crowd.emplace(program.port, 400);
     std::list<LoopClient> clients;
     for (int n = draw.between(5, 40); n > 0; --n)
         clients.emplace_back(program.port, draw_habits(draw, longest), tally);
@@ -156,7 +164,8 @@
     std::optional<Program> successor;
     const std::vector<Event> events = draw_events(draw, program, nodes, longest);
     std::this_thread::sleep_for(milliseconds(draw.between(50, 300)));
-    if (upgraded) successor.emplace(program);
+    if (upgraded)
+        successor.emplace(program);
 
     const auto told = Clock::now() - std::min(0ms, events.front().at);
     const auto kill = told + kill_after(longest);
@@ -166,7 +175,8 @@
     }
     std::this_thread::sleep_until(kill);
     const bool by_itself = !program.running();
-    if (!by_itself) program.signal(SIGKILL);
+    if (!by_itself)
+        program.signal(SIGKILL);
     const int code = program.exit_code();
     std::this_thread::sleep_for(50ms); // clients see the end
     crowd.reset();
@@ -178,7 +188,8 @@
     fmt::print("seed {} {}: longest {} nodes {}{}{} {}; ended {}\n", seed, good ? "good" : "BAD", longest,
                nodes.size(), crowded ? " crowd" : "", upgraded ? " upgrade" : "", tally.summary(),
                by_itself ? "by itself" : "by force");
-    if (!good || !by_itself) fmt::print("{}\n", program.log());
+    if (!good || !by_itself)
+        fmt::print("{}\n", program.log());
     std::fflush(stdout);
     return good;
 }
@@ -194,7 +205,8 @@
     const auto count = static_cast<unsigned>(std::atoi(argv[2]));
     std::string bad;
     for (unsigned seed = first; seed < first + count; ++seed)
-        if (!play(seed)) bad += fmt::format(" {}", seed);
+        if (!play(seed))
+            bad += fmt::format(" {}", seed);
     fmt::print("{} seeds; failed:{}\n", count, bad.empty() ? " none" : bad);
     return bad.empty() ? 0 : 1;
 }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -19,7 +19,8 @@
 // Prints what became of the requests, and where one was lost what the broker said.
 void check(const RequestTally &tally, const Program &program) {
     fmt::print("{}\n", tally.summary());
-    if (tally.lost > 0) fmt::print("{}\n", program.log());
+    if (tally.lost > 0)
+        fmt::print("{}\n", program.log());
     std::fflush(stdout);
     assert(tally.lost == 0);
 }
@@ -30,7 +31,8 @@
     program.signal(SIGTERM);
     std::this_thread::sleep_until(kill);
     const bool by_itself = !program.running();
-    if (!by_itself) program.signal(SIGKILL);
+    if (!by_itself)
+        program.signal(SIGKILL);
     program.exit_code();
     assert(by_itself);
 }
@@ -49,7 +51,8 @@
                              LoopHabits{.piece = kHanging, .wait_ms = 5000, .pause = n * 1500us}, tally);
     std::this_thread::sleep_for(200ms);
     end_at_the_earliest(program, kShort);
-    for (const LoopClient &client : clients) client.await_end();
+    for (const LoopClient &client : clients)
+        client.await_end();
     check(tally, program);
     assert(tally.refused >= 20); // all were withdrawn
 }
@@ -71,7 +74,8 @@
                              tally);
     std::this_thread::sleep_for(200ms);
     end_at_the_earliest(program, kShort);
-    for (const LoopClient &client : clients) client.await_end();
+    for (const LoopClient &client : clients)
+        client.await_end();
     check(tally, program);
 }
 
@@ -88,7 +92,8 @@
                              tally);
     std::this_thread::sleep_for(200ms);
     end_at_the_earliest(program, kShort);
-    for (const LoopClient &client : clients) client.await_end();
+    for (const LoopClient &client : clients)
+        client.await_end();
     check(tally, program);
 }
 
@@ -122,7 +127,8 @@
     program.signal(SIGTERM);
     std::this_thread::sleep_until(told + 570ms); // connections are let go, requests not withdrawn yet
     std::list<Socket> clients;
-    for (int n = 0; n < kClients; ++n) clients.push_back(program.client());
+    for (int n = 0; n < kClients; ++n)
+        clients.push_back(program.client());
     int whole = 0, at = 0;
     for (Socket &client : clients) {
         std::this_thread::sleep_until(told + 650ms + ++at * 2ms); // new connections stand until 700 ms
@@ -130,9 +136,11 @@
     }
     for (Socket &client : clients) {
         int answers = 0;
-        while (client.value()) ++answers;
+        while (client.value())
+            ++answers;
         assert(answers == 0 || answers == kBatch);
-        if (answers == kBatch) ++whole;
+        if (answers == kBatch)
+            ++whole;
     }
     fmt::print("{} of {} batches were answered\n", whole, kClients);
     assert(program.exit_code() == 0);
@@ -183,9 +191,12 @@
         const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
         const sockaddr_in at = local(port);
         Socket socket(fd);
-        if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) != 0) continue;
-        if (!socket.send("*1\r\n$4\r\nPING\r\n")) continue;
-        if (const auto answer = socket.value(); answer && answer->text == "PONG") return true;
+        if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) != 0)
+            continue;
+        if (!socket.send("*1\r\n$4\r\nPING\r\n"))
+            continue;
+        if (const auto answer = socket.value(); answer && answer->text == "PONG")
+            return true;
     }
     return false;
 }
@@ -208,7 +219,8 @@
     std::this_thread::sleep_for(1500ms); // a line on what was asked of the fleet falls due each second
     const auto kill = Clock::now() + kill_after(kShort);
     child.signal(SIGTERM);
-    for (const LoopClient &client : clients) client.await_end();
+    for (const LoopClient &client : clients)
+        client.await_end();
     const int code = child.exit_code();
     fmt::print("{} exit code {}\n", tally.summary(), code);
     std::fflush(stdout);
@@ -233,7 +245,8 @@
     for (const auto until = Clock::now() + 10s; !said("is held by another process");
          std::this_thread::sleep_for(5ms))
         assert(Clock::now() < until);
-    for (int n = 0; n < 3; ++n) child.signal(SIGHUP);
+    for (int n = 0; n < 3; ++n)
+        child.signal(SIGHUP);
     std::this_thread::sleep_for(50ms);
     holder.reset();
     assert(await_ready(program.port, child));
--- a/tests/syscall_test.cpp
+++ b/tests/syscall_test.cpp
@@ -27,7 +27,8 @@
     Tally tally;
     std::optional<Socket> client;
     for (int n = 0; n < count; ++n) {
-        if (!client || new_connections) client.emplace(program.client());
+        if (!client || new_connections)
+            client.emplace(program.client());
         const auto from = Clock::now();
         const std::string id = fresh_id();
         client->send(get(kPiece, 0, static_cast<int>(kWait.count()), id));
@@ -107,7 +108,8 @@
 int main(int argc, char **argv) {
     const std::string only = argc > 1 ? argv[1] : "";
     for (const Scenario &scenario : kScenarios) {
-        if (!only.empty() && scenario.name != only) continue;
+        if (!only.empty() && scenario.name != only)
+            continue;
         fmt::print("{}\n", scenario.name);
         std::fflush(stdout);
         scenario.play();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -12,7 +12,8 @@
 
 RespNode::Script slow_for(const char *piece, std::chrono::milliseconds time) {
     return [=](const auto &words, int) {
-        if (words[1] == piece) std::this_thread::sleep_for(time);
+        if (words[1] == piece)
+            std::this_thread::sleep_for(time);
         return RespNode::served(words[1]);
     };
 }
@@ -32,7 +33,8 @@
               write.substr(0, write.size() - 700)); // its first is answered, of the second a part is there
     assert(half.value()->text == "00000000000000bb");
     busy.send(get("00000000000000aa", 0, 3000));
-    while (node.taken().size() < 2) std::this_thread::sleep_for(5ms);
+    while (node.taken().size() < 2)
+        std::this_thread::sleep_for(5ms);
     Program fresh(old);
     idle.send(get(kPiece));
     assert(idle.value()->text == kPiece);
@@ -69,7 +71,8 @@
     assert(fresh.figures().at("cluster_unhealthy") == 1);
     assert(fresh.call("POST", "resume").first == 200 && fresh.call("POST", "uncordon", "s-1").first == 200);
     Socket again = fresh.client();
-    do again.send(get(kPiece));
+    do
+        again.send(get(kPiece));
     while (again.value()->text != "v");
 }
 
@@ -83,7 +86,8 @@
             int none = -1;
             if (words.size() <= 3 || !first.compare_exchange_strong(none, number))
                 return RespNode::served("v");
-            while (!taken_out) std::this_thread::sleep_for(5ms);
+            while (!taken_out)
+                std::this_thread::sleep_for(5ms);
             return std::string("-BUSY\r\n");
         };
     };
@@ -93,7 +97,8 @@
     Program old(discovery);
     Socket busy = old.client();
     busy.send(get(kPiece, 0, 6000));
-    while (first < 0) std::this_thread::sleep_for(5ms);
+    while (first < 0)
+        std::this_thread::sleep_for(5ms);
     const RespNode &other = nodes[1 - first];
     const std::string out = fmt::format("s-{}", 1 - first);
     Program fresh(old);
@@ -163,7 +168,8 @@
         assert(::bind(fd, reinterpret_cast<sockaddr *>(&at), sizeof at) == 0 && ::listen(fd, 1) == 0);
         std::thread stranger([&] {
             const int caller = ::accept(fd, nullptr, nullptr);
-            if (*answer) ::send(caller, answer, std::strlen(answer), MSG_NOSIGNAL);
+            if (*answer)
+                ::send(caller, answer, std::strlen(answer), MSG_NOSIGNAL);
             ::close(caller);
         });
         {
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -53,7 +53,8 @@
                 calls_.push_back(call);
             }
             came_.notify_all();
-            if (!script_(call, s)) return;
+            if (!script_(call, s))
+                return;
         }
     }
     const std::string known_;
@@ -67,7 +68,8 @@
 std::string site(bool pushed) {
     std::string settings = kSettings;
     const std::string asked = R"("membership_mode":"on_request")";
-    if (pushed) settings.replace(settings.find(asked), asked.size(), R"("membership_mode":"pushed")");
+    if (pushed)
+        settings.replace(settings.find(asked), asked.size(), R"("membership_mode":"pushed")");
     return settings;
 }
 std::string ask(const Program &program, int shard = 0, int wait = 600) {
@@ -87,7 +89,8 @@
         const std::string up = member("s-1", node.server.port, 0),
                           leaving = member("s-1", node.server.port, 0, "draining");
         Scripted discovery(up, [&](const Scripted::Call &call, Socket &s) {
-            if (call.nth == 2) s.send(whole(list(6, leaving, false)));
+            if (call.nth == 2)
+                s.send(whole(list(6, leaving, false)));
             return true; // the first and all after the second get no answer
         });
         const Program program(discovery, "", site(pushed));
@@ -114,8 +117,10 @@
             s.send(whole(list(6, member("s-1", node.server.port, 0, "draining"))));
             return call.nth == kFailed + 1;
         }
-        if (call.nth % 3 == 0) s.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        if (call.nth % 3 == 1) s.reset();
+        if (call.nth % 3 == 0)
+            s.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        if (call.nth % 3 == 1)
+            s.reset();
         return call.nth % 3 == 0;
     });
     const Program program(discovery);
@@ -162,7 +167,8 @@
                 s.send(bytes);
                 return false;
             }
-            for (int n = 0; n < 1000 && !serve; ++n) std::this_thread::sleep_for(5ms);
+            for (int n = 0; n < 1000 && !serve; ++n)
+                std::this_thread::sleep_for(5ms);
             s.send(whole(list(8, up)));
             return call.nth < 4;
         });
@@ -192,10 +198,12 @@
                 s.send(whole(list(8, up)));
                 return call.nth < 3;
             }
-            for (int n = 0; n < 300 && !go; ++n) std::this_thread::sleep_for(1ms);
+            for (int n = 0; n < 300 && !go; ++n)
+                std::this_thread::sleep_for(1ms);
             s.send(head);
             std::string piece;
-            while (piece.size() < 60'000) piece += more;
+            while (piece.size() < 60'000)
+                piece += more;
             while (s.send(piece))
                 ;
             return false;
@@ -221,10 +229,13 @@
     Scripted discovery(up, [&](const Scripted::Call &call, Socket &s) {
         if (call.nth == 1) {
             const std::string answer = "HTTP/1.1 103 Early Hints\r\n\r\n" + whole(indented + "\n");
-            for (std::size_t at = 0; at < answer.size(); at += 97) s.send(answer.substr(at, 97));
+            for (std::size_t at = 0; at < answer.size(); at += 97)
+                s.send(answer.substr(at, 97));
         }
-        if (call.nth == 2) s.send(whole(list(7, up)) + whole(list(7, up)));
-        if (call.nth == 3) s.send(whole(list(8, member("s-1", node.server.port, 0, "draining"))));
+        if (call.nth == 2)
+            s.send(whole(list(7, up)) + whole(list(7, up)));
+        if (call.nth == 3)
+            s.send(whole(list(8, member("s-1", node.server.port, 0, "draining"))));
         return true;
     });
     const Program program(discovery);
@@ -239,8 +250,10 @@
     RespNode node(serves());
     const std::string up = member("s-1", node.server.port, 0);
     Scripted discovery(up, [&](const Scripted::Call &call, Socket &s) {
-        if (call.nth == 1) s.send(whole(list(2, "", false)));
-        if (call.nth == 2) s.send(whole(list(2, member("s-1", node.server.port, 0, "draining"))));
+        if (call.nth == 1)
+            s.send(whole(list(2, "", false)));
+        if (call.nth == 2)
+            s.send(whole(list(2, member("s-1", node.server.port, 0, "draining"))));
         return true;
     });
     const Program program(discovery);
@@ -258,7 +271,8 @@
     Discovery before(up + "," + more);
     std::atomic<bool> answer = false;
     Scripted after(up, [&](const Scripted::Call &call, Socket &s) {
-        while (!answer) std::this_thread::sleep_for(1ms);
+        while (!answer)
+            std::this_thread::sleep_for(1ms);
         if (call.nth == 1)
             s.send(whole(list(2, member("s-1", node.server.port, 0, "draining") + "," + more)));
         return true;
@@ -306,7 +320,8 @@
     assert(after.await(3).since == 2);
     assert(ask(program, 0, 300).starts_with("BUSY") && node.taken().empty());
     int nth = 3;
-    while (after.await(nth).since >= 0) ++nth; // 5 s to 15 s later
+    while (after.await(nth).since >= 0)
+        ++nth; // 5 s to 15 s later
     assert(after.await(nth).at - moved.at > 3s && after.await(nth).at - moved.at < 20s);
     assert(after.await(nth + 1).since == 9 && ask(program) == "v");
 }
