--- a/src/overload/limit_loans.hpp
+++ b/src/overload/quota_lending.hpp
@@ -28,12 +28,12 @@
 
 namespace marblewood::overload {
 
-struct LimitLedger { // a volume's, at one broker; units unless said otherwise
+struct QuotaAccount { // a volume's, at one broker; units unless said otherwise
     int hosts = 1;
     double rate = 0, burst = 0; // of this broker's part: units a second, units
-    double store = 0;
-    Micros at = 0;       // up to when the store is filled
-    bool frozen = false; // a successor has the store: nothing fills it here, and nothing is lent
+    double balance = 0;
+    Micros refilled_at = 0; // up to when the balance is filled
+    bool frozen = false;    // a successor has the store: nothing fills it here, and nothing is lent
     struct Loan {
         Micros until = 0;
         double units = 0;
@@ -44,49 +44,54 @@
         Micros at = 0;
         double units = 0;
     };
-    std::deque<PendingRequest> requests; // not yet answered
-    struct Sharer {                      // another broker through which the volume's requests come
+    std::deque<PendingRequest> pending_requests; // not yet answered
+    struct Peer {                                // another broker through which the volume's requests come
         Micros heard = 0;
         Micros next = 0, gap = 0; // asked in vain lately: not again before then
     };
-    std::map<int, Sharer> sharers;
+    std::map<int, Peer> peers;
     double demand = 0; // units asked of this broker, decayed over kDemand
-    Micros demand_at = 0, asked = INT64_MIN / 4, met = INT64_MIN / 4;
-    int last = -1; // the sharer asked last: each is asked in turn
+    Micros demand_at = 0;
+    Micros last_request_at = INT64_MIN / 4;
+    Micros last_registration_at = INT64_MIN / 4;
+    int last_requested_peer = -1; // each is asked in turn
 };
 
-class LimitLoans {
+class QuotaLending {
 public:
-    explicit LimitLoans(const Settings &settings) : set_(settings) {}
+    explicit QuotaLending(const Settings &settings) : set_(settings) {}
 
     // This broker's part as of now; `burst` and `rate` are the plan's, `brokers` as the request says.
-    void fill(LimitLedger &ledger, double rate, double burst, int hosts, Micros now);
+    void refill(QuotaAccount &account, double rate, double burst, int hosts, Micros now);
     // A request has come. Now and then this broker says at the volume's meeting place that it shares the
     // volume.
-    std::optional<SendPeerMessage> wants(LimitLedger &ledger, VolumeId volume, double units, Micros now);
-    double left(const LimitLedger &ledger, Micros now) const;  // may be spent now
-    void spend(LimitLedger &ledger, double units, Micros now); // `left` allows it
+    std::optional<SendPeerMessage> record_demand(QuotaAccount &account, VolumeId volume, double units,
+                                                 Micros now);
+    double available(const QuotaAccount &account, Micros now) const; // may be spent now
+    void spend(QuotaAccount &account, double units, Micros now);     // `left` allows it
 
     // So many units are wanted now. Whom to request for what is missing, and what to say; nothing where
     // nobody can help, or not yet again.
-    std::optional<SendPeerMessage> ask(LimitLedger &ledger, VolumeId volume, double units, Micros now);
+    std::optional<SendPeerMessage> request_units(QuotaAccount &account, VolumeId volume, double units,
+                                                 Micros now);
     // What a peer says: whether it is of loans; then the answer, and the volume of which there is more to
     // spend. What makes no sense is counted and dropped.
-    static bool speaks(const std::string &data);
-    struct Heard {
-        std::optional<SendPeerMessage> answer;
-        std::optional<VolumeId> richer;
+    static bool recognizes(const std::string &data);
+    struct Outcome {
+        std::optional<SendPeerMessage> reply;
+        std::optional<VolumeId> replenished;
     };
-    using Ledgers = std::function<LimitLedger *(VolumeId)>; // null where this broker does not know the volume
-    Heard hear(const PeerMessage &message, const Ledgers &ledgers, Micros now);
+    using AccountLookup =
+        std::function<QuotaAccount *(VolumeId)>; // null where this broker does not know the volume
+    Outcome handle(const PeerMessage &message, const AccountLookup &accounts, Micros now);
 
-    double store(const LimitLedger &ledger, Micros now) const; // units of its own
+    double own_units(const QuotaAccount &account, Micros now) const; // units of its own
     // For a successor: units lent that may still be spent elsewhere, which it takes for lent just now.
-    double lent(const LimitLedger &ledger, Micros now) const;
-    void inherit(LimitLedger &ledger, double store, double lent, Micros now);
-    void freeze(LimitLedger &ledger, bool on, double kept, Micros now);
+    double lent_units(const QuotaAccount &account, Micros now) const;
+    void restore(QuotaAccount &account, double store, double lent, Micros now);
+    void set_frozen(QuotaAccount &account, bool on, double kept, Micros now);
 
-    const QuotaLoanMetrics &figures() const { return figures_; }
+    const QuotaLoanMetrics &metrics() const { return metrics_; }
 
 private:
     struct Word {
@@ -97,17 +102,17 @@
         std::vector<int> hosts = {};
     };
     std::optional<Word> read(const std::string &data) const;
-    std::optional<SendPeerMessage> answer(LimitLedger &ledger, const Word &request, int to, Micros now);
-    bool take(LimitLedger &ledger, const Word &grant, int from, Micros now);
+    std::optional<SendPeerMessage> answer(QuotaAccount &account, const Word &request, int to, Micros now);
+    bool take(QuotaAccount &account, const Word &grant, int from, Micros now);
     std::optional<SendPeerMessage> introduce(VolumeId volume, int who, Micros now);
-    void meet(LimitLedger &ledger, const std::vector<int> &hosts, Micros now) const;
-    Micros life(const LimitLedger &ledger) const; // us for which units may be spent, from the request on
-    void settle(LimitLedger &ledger, Micros now);
+    void meet(QuotaAccount &account, const std::vector<int> &hosts, Micros now) const;
+    Micros life(const QuotaAccount &account) const; // us for which units may be spent, from the request on
+    void settle(QuotaAccount &account, Micros now);
 
     Settings set_;
     std::uint64_t requests_ = 0;
     std::map<VolumeId, std::map<int, Micros>> meetings_; // who shares a volume, and when it said so
-    QuotaLoanMetrics figures_;
+    QuotaLoanMetrics metrics_;
 };
 
 } // namespace marblewood::overload
--- a/src/overload/cold_allocator.hpp
+++ b/src/overload/slow_start_allocator.hpp
@@ -1,6 +1,6 @@
 // Cold allocators: where brokers may talk, what a node that has just started bears from all of them is given
 // out by a few of them, on request. No I/O and no clock. Where they may not:
-// src/overload/cold_time_slices.hpp.
+// src/overload/slow_start_time_slices.hpp.
 //
 // Bound promised. What all brokers together send such a node in any window W is at most C (the stated units),
 // and from a declared start on C + E(t), E growing as slowly as the settings allow, t being the window's
@@ -16,48 +16,45 @@
 // the most.
 #pragma once
 
-#include "overload/cold_time_slices.hpp"
+#include "overload/slow_start_message.hpp"
+#include "overload/slow_start_time_slices.hpp"
 
 namespace marblewood::overload {
 
-class ColdAllocator {
+class SlowStartAllocator {
 public:
-    explicit ColdAllocator(const Settings &settings);
+    explicit SlowStartAllocator(const Settings &settings);
 
     // Whether a request of so many units may go there now. `born`: since when this process decides.
-    bool bears(const ColdNode &node, double units, Micros now, Micros born) const;
-    void spend(ColdNode &node, double units, Micros now, Micros born);
-    void forget(ColdNode &node, Micros now); // what no longer counts
+    bool admits(const SlowStartNode &node, double units, Micros now, Micros started_at) const;
+    void spend(SlowStartNode &node, double units, Micros now, Micros started_at);
+    void expire(SlowStartNode &node, Micros now); // what no longer counts
 
     // A request for so many units: whom to ask and what to say; nothing where nobody can help, or not yet
     // again.
-    std::optional<SendPeerMessage> ask(ColdNode &node, double units, Micros now);
+    std::optional<SendPeerMessage> request_grant(SlowStartNode &node, double units, Micros now);
     // What a peer says. Empty where it makes no sense, which is counted.
-    struct Word {
-        bool grant = false; // else a request
-        std::uint64_t node = 0, number = 0;
-        double units = 0;
-    };
-    std::optional<Word> read(const std::string &data);
-    std::optional<SendPeerMessage> answer(ColdNode &node, const Word &request, int to, Micros now,
-                                          Micros born);
-    bool take(ColdNode &node, const Word &grant, Micros now); // whether there is something to spend now
-
-    const SlowStartGrantMetrics &figures() const { return figures_; }
+    std::optional<SlowStartMessage> decode(const std::string &data);
+    std::optional<SendPeerMessage> answer_request(SlowStartNode &node, const SlowStartMessage &request,
+                                                  int to, Micros now, Micros started_at);
+    bool accept_grant(SlowStartNode &node, const SlowStartMessage &grant,
+                      Micros now); // whether there is something to spend now
+
+    const SlowStartGrantMetrics &metrics() const { return metrics_; }
 
 private:
     Micros slot() const { return std::max<Micros>(1, set_.slow_start_window / 16); }
     Micros epoch() const;
     Micros holds() const; // us after a grant for which it counts: W + g, and some for clocks that run apart
-    int allocator_at(const ColdNode &node, int nth, Micros now) const;
-    double grants(const ColdNode &node, Micros now) const;
+    int allocator_at(const SlowStartNode &node, int nth, Micros now) const;
+    double grants(const SlowStartNode &node, Micros now) const;
     // Which of the parts that this broker may give from now bears so many units.
-    std::optional<int> part(const ColdNode &node, double units, Micros now, Micros born) const;
-    void record_grant(ColdNode &node, double units, int part, Micros now);
+    std::optional<int> part(const SlowStartNode &node, double units, Micros now, Micros started_at) const;
+    void record_grant(SlowStartNode &node, double units, int part, Micros now);
 
     Settings set_;
     std::uint64_t requests_ = 0;
-    SlowStartGrantMetrics figures_;
+    SlowStartGrantMetrics metrics_;
 };
 
 } // namespace marblewood::overload
--- a/src/overload/cold_time_slices.hpp
+++ b/src/overload/slow_start_time_slices.hpp
@@ -1,5 +1,5 @@
 // Cold time slices: the share of what a node that has just started bears among brokers that can't talk. No
-// I/O and no clock. Where they can: src/overload/cold_allocator.hpp.
+// I/O and no clock. Where they can: src/overload/slow_start_allocator.hpp.
 //
 // Bound promised. What all brokers together send such a node in any window W is at most C (the stated units),
 // and from a declared start on C + E(t), growing as slowly as the settings allow, whoever knows what and
@@ -23,42 +23,43 @@
 
 namespace marblewood::overload {
 
-struct ColdNode {                      // what a broker knows of a node, as far as its starts go
-    NodeEntry entry;                   // as listed
-    Micros cold_since = INT64_MIN / 4; // its last start
-    bool declared = false;             // by the list
+struct SlowStartNode {                       // what a broker knows of a node, as far as its starts go
+    NodeEntry entry;                         // as listed
+    Micros slow_start_began = INT64_MIN / 4; // its last start
+    bool start_listed = false;               // by the list
     std::deque<HandoverState::SlowStartSend>
-        spent;              // of own parts and time slices; as an allocator: given out
+        sends;              // of own parts and time slices; as an allocator: given out
     struct PendingRequest { // for a time slice, not yet answered
         std::uint64_t number = 0;
         Micros at = 0;
     };
-    std::deque<PendingRequest> requests;
+    std::deque<PendingRequest> pending_requests;
     struct Grant {
         Micros until = 0;
         double units = 0;
     };
     std::deque<Grant> grants;
-    int asked = 0; // allocators so far, so that another is asked each time
-    Micros asked_at = INT64_MIN / 4, ask_gap = 0;
+    int next_allocator = 0; // counts requests, so that each goes to another allocator
+    Micros last_request_at = INT64_MIN / 4;
+    Micros request_backoff = 0;
 };
 
-class ColdTimeSlices {
+class SlowStartTimeSlices {
 public:
-    explicit ColdTimeSlices(const Settings &settings) : set_(settings) {}
+    explicit SlowStartTimeSlices(const Settings &settings) : set_(settings) {}
 
     // Whether a request of so many units may go there now. `born`: since when this instance decides.
-    bool bears(const ColdNode &node, double units, Micros now, Micros born) const;
-    void spend(ColdNode &node, double units, Micros now);
-    void forget(ColdNode &node, Micros now) const; // what no longer counts
+    bool admits(const SlowStartNode &node, double units, Micros now, Micros started_at) const;
+    void spend(SlowStartNode &node, double units, Micros now);
+    void expire(SlowStartNode &node, Micros now) const; // what no longer counts
 
 private:
     Micros slot() const;
     double usual() const;
     double grown_a_slot() const;
-    double total(const ColdNode &node, int layer, Micros at) const;
+    double total(const SlowStartNode &node, int layer, Micros at) const;
     double slices(int layer, double k) const;
-    double left(const ColdNode &node, int layer,
+    double left(const SlowStartNode &node, int layer,
                 Micros now) const; // of the layer's share, to this broker, now
 
     Settings set_;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,8 +1,8 @@
 // marblewood: every decision, in five parts: nodes, bound, queue, attempts, guards.
 // Interface (settings, events, actions): include/marblewood/scheduler.hpp. Reasons: docs/design.md.
 #include "marblewood/scheduler.hpp"
-#include "overload/cold_quota.hpp"
-#include "overload/limit_loans.hpp"
+#include "overload/quota_lending.hpp"
+#include "overload/slow_start_budget.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -99,7 +99,7 @@
             return it == attempts.end() ? nullptr : &*it;
         }
     };
-    struct Node : overload::ColdNode {
+    struct Node : overload::SlowStartNode {
         NodeId id{};
         bool usable = false; // listed as ready
         // Bound.
@@ -130,7 +130,7 @@
         int open = 0; // requests held
         bool told = false;
         double reserve = 0, share = 0; // units in the stores
-        overload::LimitLedger limit;
+        overload::QuotaAccount limit;
     };
     struct Key {
         std::deque<RequestId> line;
@@ -144,8 +144,8 @@
 
     Settings set;
     std::uint64_t random;
-    overload::ColdQuota cold;
-    overload::LimitLoans loans;
+    overload::SlowStartBudget cold;
+    overload::QuotaLending loans;
     ShedMetrics shed_by;
     std::set<VolumeId> lacking; // whose limit holds work back here
     Micros now = 0, born = kNever, limited_at = kNever;
@@ -227,7 +227,7 @@
                     withdraw(node, "gone");
         std::erase_if(nodes, [](const auto &n) { // what it was sent cold counts, should it come back
             return !n.second.usable && n.second.entry.state == NodeState::Gone && n.second.out.empty() &&
-                   n.second.spent.empty();
+                   n.second.sends.empty();
         });
         const bool none = std::none_of(nodes.begin(), nodes.end(), [](auto &n) { return n.second.usable; });
         if (none && !listless)
@@ -281,10 +281,10 @@
     void chill(Node &node, Micros since, bool declared) { // a start, declared by the list or seen
         if (declared && since <= node.refused_at)
             declared = false, since = now; // an older start, or skew
-        if (set.slow_start_duration <= 0 || (since <= node.cold_since && declared <= node.declared))
+        if (set.slow_start_duration <= 0 || (since <= node.slow_start_began && declared <= node.start_listed))
             return;
-        node.cold_since = since;
-        node.declared = declared;
+        node.slow_start_began = since;
+        node.start_listed = declared;
         log(name(node.id) + " started: held to its cold part");
     }
 
@@ -299,7 +299,7 @@
     // The one rule of evidence: only a served attempt speaks for a node; all else speaks against it.
     void judge(Node &node, Status status) {
         if (status == Status::Ok) {
-            if (node.refused >= kConnectFailures && node.refused_at > node.cold_since)
+            if (node.refused >= kConnectFailures && node.refused_at > node.slow_start_began)
                 chill(node, now, false); // it started since then, at the latest just now
             node.failures = node.refused = 0;
             node.served = now;
@@ -459,7 +459,7 @@
         if (left)
             v.reserve = left.mapped().reserve.value_or(v.reserve);
         if (left)
-            loans.inherit(v.limit, left.mapped().units, left.mapped().lent, now);
+            loans.restore(v.limit, left.mapped().units, left.mapped().lent, now);
         const double seconds = static_cast<double>(now - v.stamp) / 1e6, keep = decay(v.stamp, now, kAccount);
         v.own *= keep;
         v.others *= keep;
@@ -472,7 +472,7 @@
         v.share = std::min(v.share + share_rate(plan) * mine * seconds, share_rate(plan) * mine + most);
         v.limit.frozen = retired;
         if (plan.limit > 0)
-            loans.fill(v.limit, plan.limit, plan.limit_burst, in.hosts, now);
+            loans.refill(v.limit, plan.limit, plan.limit_burst, in.hosts, now);
         return v;
     }
 
@@ -505,7 +505,7 @@
         r.due = std::min(first_due(r), r.gone - 2 * set.period), r.ready = now;
         classify(r);
         if (r.plan->limit > 0)
-            if (auto word = loans.wants(volumes.at(in.volume).limit, in.volume, in.units, now))
+            if (auto word = loans.record_demand(volumes.at(in.volume).limit, in.volume, in.units, now))
                 act(*word);
         if (!limit_allows(r)) {
             if (now - limited_at > kForget)
@@ -628,7 +628,7 @@
                 continue;
             why = n.trusted ? &shed_by.concurrency_limit : &shed_by.ejected;
             if (room(n))
-                return cold.bears(n, r.in.units, now, awake()) ? shed_by.lower_priority : shed_by.slow_start;
+                return cold.admits(n, r.in.units, now, awake()) ? shed_by.lower_priority : shed_by.slow_start;
         }
         return *why;
     }
@@ -679,7 +679,7 @@
             }
             const bool timely = on_time(*r, node),
                        safe = node.trusted || r->cls->idempotency == Idempotency::Idempotent;
-            if (!cold.bears(node, r->in.units, now, awake())) { // an allocator may grant some
+            if (!cold.admits(node, r->in.units, now, awake())) { // an allocator may grant some
                 if (timely && chilled == 0)
                     chilled = r->in.units;
                 continue;
@@ -735,7 +735,7 @@
             if (node && blind && !r)
                 ask(*node);
             if (node && chilled > 0 && !r && !retired)
-                if (auto request = cold.ask(*node, chilled, now))
+                if (auto request = cold.request_grant(*node, chilled, now))
                     act(std::move(*request));
             if (!r)
                 return;
@@ -951,34 +951,36 @@
             give_up(it->second);
     }
     void loan(const PeerMessage &e) { // of limits' units lent between hosts
-        const auto heard = loans.hear(
+        const auto heard = loans.handle(
             e,
             [this](VolumeId id) {
                 const auto it = volumes.find(id);
                 return it == volumes.end() ? nullptr : &it->second.limit;
             },
             now);
-        if (heard.answer)
-            act(*heard.answer);
+        if (heard.reply)
+            act(*heard.reply);
         for (const auto &[id, r] : requests)
-            if (r.waiting && heard.richer == r.in.volume)
+            if (r.waiting && heard.replenished == r.in.volume)
                 touched.insert(r.shard);
     }
     void on(const PeerMessage &e) { // of cold nodes: a request to this broker as an allocator, or a grant
-        if (overload::LimitLoans::speaks(e.data))
+        if (overload::QuotaLending::recognizes(e.data))
             return loan(e);
-        const auto word = cold.allocator().read(e.data);
-        if (!word)
+        const auto message = cold.allocator().decode(e.data);
+        if (!message)
             return;
-        const auto it = std::ranges::find_if(
-            nodes, [&](const auto &n) { return n.second.usable && n.second.entry.stable_id == word->node; });
+        const auto it = std::ranges::find_if(nodes, [&](const auto &n) {
+            return n.second.usable && n.second.entry.stable_id == message->node;
+        });
         if (it == nodes.end())
             return;
         Node &node = it->second;
-        if (word->grant && cold.allocator().take(node, *word, now))
+        const bool is_grant = message->kind == overload::SlowStartMessage::Kind::Grant;
+        if (is_grant && cold.allocator().accept_grant(node, *message, now))
             touched.insert(node.entry.shard);
-        if (!word->grant)
-            if (auto grant = cold.allocator().answer(node, *word, e.from, now, awake()))
+        if (!is_grant)
+            if (auto grant = cold.allocator().answer_request(node, *message, e.from, now, awake()))
                 act(std::move(*grant));
     }
 
@@ -987,7 +989,7 @@
     Micros awake() const { return retired ? now : born; } // since when cold nodes may get something from here
     bool limit_allows(const Request &r, double spare = 0) const { // spare: units to be left in the store
         return r.charged || r.plan->limit <= 0 ||
-               loans.left(volumes.at(r.in.volume).limit, now) >= r.in.units + spare;
+               loans.available(volumes.at(r.in.volume).limit, now) >= r.in.units + spare;
     }
 
     // A successor takes over: what it is left and what is kept for the requests held here add up to what
@@ -1005,11 +1007,16 @@
         HandoverState all{born, {}, {}};
         for (const auto &[id, v] : volumes)
             if (only ? id == *only : v.limit.rate > 0)
-                all.quotas.push_back({id, std::max(0.0, loans.store(v.limit, now) - kept(id)), v.reserve,
-                                      loans.lent(v.limit, now)});
+                all.quotas.push_back({id, std::max(0.0, loans.own_units(v.limit, now) - kept(id)), v.reserve,
+                                      loans.lent_units(v.limit, now)});
         for (const auto &[id, n] : nodes)
-            all.nodes.push_back(
-                {id, n.cold_since, n.declared, {n.spent.begin(), n.spent.end()}, n.sum, n.weight, n.stamp});
+            all.nodes.push_back({id,
+                                 n.slow_start_began,
+                                 n.start_listed,
+                                 {n.sends.begin(), n.sends.end()},
+                                 n.sum,
+                                 n.weight,
+                                 n.stamp});
         return all;
     }
     void on(const HandoverState &e) {
@@ -1019,8 +1026,8 @@
         for (const HandoverState::NodeHistory &s : e.nodes)
             if (const auto it = nodes.find(s.node); it != nodes.end()) {
                 Node &n = it->second;
-                n.spent.assign(s.slow_start_sends.begin(), s.slow_start_sends.end());
-                if (s.slow_start_began > n.cold_since)
+                n.sends.assign(s.slow_start_sends.begin(), s.slow_start_sends.end());
+                if (s.slow_start_began > n.slow_start_began)
                     chill(n, s.slow_start_began, s.start_listed);
                 n.sum = s.latency_sum, n.weight = s.latency_weight, n.stamp = s.latency_updated;
                 rebound(n);
@@ -1029,7 +1036,7 @@
     void on(const DrainForSuccessor &e) {
         retired = e.on;
         for (auto &[id, v] : volumes)
-            loans.freeze(v.limit, retired, kept(id), now), v.stamp = retired ? v.stamp : now;
+            loans.set_frozen(v.limit, retired, kept(id), now), v.stamp = retired ? v.stamp : now;
     }
 
     bool budget_allows(const Request &r) const {
@@ -1078,7 +1085,7 @@
         while (!further.empty() && further.front() < now - set.retry_budget_window)
             further.pop_front();
         for (auto &[id, node] : nodes)
-            cold.forget(node, now);
+            cold.expire(node, now);
         std::erase_if(volumes, [&](const auto &v) { return !v.second.open && now - v.second.stamp > kIdle; });
         std::erase_if(shards,
                       [](const auto &s) { return s.second.nodes.empty() && s.second.waiting.empty(); });
@@ -1100,7 +1107,7 @@
         }
         touched.clear();
         for (const VolumeId id : lacking) // other hosts may have some left
-            if (auto call = loans.ask(volumes.at(id).limit, id, kept(id), now))
+            if (auto call = loans.request_units(volumes.at(id).limit, id, kept(id), now))
                 act(std::move(*call));
         lacking.clear();
         if (!agenda.empty() && std::get<0>(*agenda.begin()) < armed) {
@@ -1136,7 +1143,7 @@
     return state_->handover_state(only);
 }
 OverloadMetrics Scheduler::overload() const {
-    return {state_->cold.figures(), state_->loans.figures(), state_->shed_by};
+    return {state_->cold.metrics(), state_->loans.metrics(), state_->shed_by};
 }
 bool Scheduler::is_avoided(NodeId node) const {
     const auto it = state_->nodes.find(node);
--- a/tests/limit_loans_test.cpp
+++ b/tests/quota_lending_test.cpp
@@ -1,6 +1,6 @@
 // The loans of a limit's units by themselves: random schedules of brokers and datagrams, and all orders at
 // small size. What all brokers spend of one volume stays under its limit, counted from outside.
-#include "overload/limit_loans.hpp"
+#include "overload/quota_lending.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 #include <random>
 
 using namespace marblewood;
-using overload::LimitLedger;
-using overload::LimitLoans;
+using overload::QuotaAccount;
+using overload::QuotaLending;
 
 namespace {
 
@@ -30,7 +30,7 @@
         Settings settings;
         settings.hosts = hosts, settings.peers = settings.lends = true, settings.mean_request_units = 0.5;
         for (int h = 0; h < hosts; ++h)
-            settings.position = h, hosts_.emplace_back(Host{settings, LimitLoans(settings), {}});
+            settings.position = h, hosts_.emplace_back(Host{settings, QuotaLending(settings), {}});
     }
     Micros clock(int h) const { // each runs at a speed of its own, and shows what it likes
         return kBegin + h * 77'000'000 +
@@ -44,28 +44,28 @@
             if (word)
                 out.push_back({now, h, *word->peer, word->data});
         };
-        say(host.loans.wants(host.ledger, kVolume, units, clock(h)));
-        if (host.loans.left(host.ledger, clock(h)) < units) {
-            say(host.loans.ask(host.ledger, kVolume, units, clock(h)));
+        say(host.loans.record_demand(host.account, kVolume, units, clock(h)));
+        if (host.loans.available(host.account, clock(h)) < units) {
+            say(host.loans.request_units(host.account, kVolume, units, clock(h)));
             return out;
         }
-        host.loans.spend(host.ledger, units, clock(h));
+        host.loans.spend(host.account, units, clock(h));
         store_ = std::min(burst_, store_ + rate_ * static_cast<double>(now - at_) / 1e6) - units;
         at_ = now, least = std::min(least, store_), spent += units;
         return out;
     }
     void drain() { // every broker spends all that it may
         for (int h = 0; h < static_cast<int>(hosts_.size()); ++h)
-            while (fresh(h).loans.left(fresh(h).ledger, clock(h)) >= 0.25)
+            while (fresh(h).loans.available(fresh(h).account, clock(h)) >= 0.25)
                 request(h, 0.25);
     }
     std::optional<Letter> deliver(const Letter &letter) {
         Host &host = fresh(letter.to);
-        const auto heard = host.loans.hear(
-            {letter.from, letter.data}, [&](VolumeId) { return &host.ledger; }, clock(letter.to));
-        if (!heard.answer)
+        const auto heard = host.loans.handle(
+            {letter.from, letter.data}, [&](VolumeId) { return &host.account; }, clock(letter.to));
+        if (!heard.reply)
             return std::nullopt;
-        return Letter{now, letter.to, *heard.answer->peer, heard.answer->data};
+        return Letter{now, letter.to, *heard.reply->peer, heard.reply->data};
     }
     void deliver_all(std::vector<Letter> letters) {
         while (!letters.empty()) {
@@ -81,23 +81,25 @@
                 deliver_all(request(h, 1000));
     }
     void restart(int h) {
-        hosts_[static_cast<std::size_t>(h)] = Host{settings(h), LimitLoans(settings(h)), {}};
+        hosts_[static_cast<std::size_t>(h)] = Host{settings(h), QuotaLending(settings(h)), {}};
     }
     void hand_over(int h) { // a successor takes over, and its forerunner keeps nothing
         Host &host = fresh(h);
-        const double store = host.loans.store(host.ledger, clock(h)),
-                     lent = host.loans.lent(host.ledger, clock(h));
+        const double store = host.loans.own_units(host.account, clock(h)),
+                     lent = host.loans.lent_units(host.account, clock(h));
         restart(h);
-        hosts_[static_cast<std::size_t>(h)].loans.inherit(hosts_[static_cast<std::size_t>(h)].ledger, store,
+        hosts_[static_cast<std::size_t>(h)].loans.restore(hosts_[static_cast<std::size_t>(h)].account, store,
                                                           lent, clock(h));
     }
-    double lent() const {
-        return std::accumulate(hosts_.begin(), hosts_.end(), 0.0,
-                               [](double all, const Host &host) { return all + host.loans.figures().units_lent; });
+    double lent_units() const {
+        return std::accumulate(hosts_.begin(), hosts_.end(), 0.0, [](double all, const Host &host) {
+            return all + host.loans.metrics().units_lent;
+        });
     }
     double used() const {
-        return std::accumulate(hosts_.begin(), hosts_.end(), 0.0,
-                               [](double all, const Host &host) { return all + host.loans.figures().units_used; });
+        return std::accumulate(hosts_.begin(), hosts_.end(), 0.0, [](double all, const Host &host) {
+            return all + host.loans.metrics().units_used;
+        });
     }
     Micros now = kBegin;
     double least = 1e9, spent = 0; // of what the plan leaves, counted from outside
@@ -105,13 +107,13 @@
 private:
     struct Host {
         Settings own;
-        LimitLoans loans;
-        LimitLedger ledger;
+        QuotaLending loans;
+        QuotaAccount account;
     };
     const Settings &settings(int h) const { return hosts_[static_cast<std::size_t>(h)].own; }
     Host &fresh(int h) {
         Host &host = hosts_[static_cast<std::size_t>(h)];
-        host.loans.fill(host.ledger, rate_, burst_, static_cast<int>(hosts_.size()), clock(h));
+        host.loans.refill(host.account, rate_, burst_, static_cast<int>(hosts_.size()), clock(h));
         return host;
     }
     double rate_, burst_;
@@ -127,7 +129,7 @@
 
 } // namespace
 
-TEST(LimitLoans, TenThousandSchedulesKeepTheLimit) {
+TEST(QuotaLending, TenThousandSchedulesKeepTheLimit) {
     double used = 0, spent = 0;
     for (unsigned seed = 1; seed <= 10'000; ++seed) {
         std::mt19937 random(seed);
@@ -184,7 +186,7 @@
 
 // Two brokers, all the same speed: requests, grants, a datagram twice, both spending all, a wait past the
 // loan's end, a restart, a handover, in every order.
-TEST(LimitLoans, AllOrdersOfTwoHostsKeepTheLimit) {
+TEST(QuotaLending, AllOrdersOfTwoHostsKeepTheLimit) {
     std::vector<int> order(8);
     std::iota(order.begin(), order.end(), 0);
     double used = 0;
@@ -224,7 +226,7 @@
     EXPECT_GT(used, 0.0);
 }
 
-TEST(LimitLoans, TheBusiestHostGetsWhatTheOthersLeave) {
+TEST(QuotaLending, TheBusiestHostGetsWhatTheOthersLeave) {
     World world(3, 60, 60);
     world.acquaint();
     double asked = 0;
@@ -238,14 +240,14 @@
     EXPECT_GE(world.least, -1e-6);
 }
 
-TEST(LimitLoans, LendersThatDieAtOnceLeaveNoMoreThanTheLimit) {
+TEST(QuotaLending, LendersThatDieAtOnceLeaveNoMoreThanTheLimit) {
     World world(6, 60, 60);
     world.acquaint();
     for (int n = 0; n < 10; ++n)
         world.request(0, 1);
     for (int n = 0; n < 6; ++n, world.now += 31'000)
         world.deliver_all(world.request(0, 1000)); // asks each in turn
-    const double lent = world.lent();
+    const double lent = world.lent_units();
     for (int h = 1; h < 6; ++h)
         world.restart(h), world.request(h, 1000);
     world.now += 280'000; // the loans are still good, and those who know nothing of them have some again
@@ -254,22 +256,22 @@
     EXPECT_GE(world.least, -1e-6);
 }
 
-TEST(LimitLoans, WhatMakesNoSenseIsCountedAndDropped) {
+TEST(QuotaLending, WhatMakesNoSenseIsCountedAndDropped) {
     Settings settings;
     settings.peers = settings.lends = true, settings.hosts = 4;
-    LimitLoans loans(settings);
-    const LimitLoans::Ledgers none = [](VolumeId) { return nullptr; };
+    QuotaLending loans(settings);
+    const QuotaLending::AccountLookup none = [](VolumeId) { return nullptr; };
     for (const char *const bad :
          {"mw-loan1", "mw-loan1 ", "mw-loan1 a ", "mw-loan1 a 1 2", "mw-loan1 g 1 2 -3",
           "mw-loan1 g 1 2 99999999999", "mw-loan2 a 1 2 3", "mw-loan1 a 1 2 3 4",
           "mw-loan1 a 11112222333344445 2 3", "mw-loan1 x 1 2 3", "mw-loan1 m 1 2", "mw-loan1 h 1 4",
           "mw-loan1 h 1 -1", "mw-loan1 h 1 2 ", "mw-loan1 ask 1 2 3"})
-        EXPECT_FALSE(loans.hear({1, bad}, none, 1'000'000).answer) << bad;
-    EXPECT_EQ(loans.figures().malformed, 15u);
-    EXPECT_FALSE(LimitLoans::speaks("mw-cold1 ask 1 2 3"));
-    EXPECT_FALSE(loans.hear({1, "mw-loan1 m ffffffffffffffff"}, none, 1'000'000).answer); // the first there
-    const auto heard = loans.hear({2, "mw-loan1 m ffffffffffffffff"}, none, 1'000'000);
-    ASSERT_TRUE(heard.answer);
-    EXPECT_EQ(heard.answer->data, "mw-loan1 h ffffffffffffffff 1");
-    EXPECT_EQ(loans.figures().malformed, 15u);
+        EXPECT_FALSE(loans.handle({1, bad}, none, 1'000'000).reply) << bad;
+    EXPECT_EQ(loans.metrics().malformed, 15u);
+    EXPECT_FALSE(QuotaLending::recognizes("mw-cold1 ask 1 2 3"));
+    EXPECT_FALSE(loans.handle({1, "mw-loan1 m ffffffffffffffff"}, none, 1'000'000).reply); // the first there
+    const auto heard = loans.handle({2, "mw-loan1 m ffffffffffffffff"}, none, 1'000'000);
+    ASSERT_TRUE(heard.reply);
+    EXPECT_EQ(heard.reply->data, "mw-loan1 h ffffffffffffffff 1");
+    EXPECT_EQ(loans.metrics().malformed, 15u);
 }
--- a/tests/cold_quota_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -1,7 +1,7 @@
 // The share of cold nodes by itself, alone and with talk: random schedules of brokers and datagrams, and all
 // orders at small size. What all brokers send one cold node in any window stays under what it bears, counted
 // from outside.
-#include "overload/cold_quota.hpp"
+#include "overload/slow_start_budget.hpp"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 #include <random>
 
 using namespace marblewood;
-using overload::ColdNode;
-using overload::ColdQuota;
+using overload::SlowStartBudget;
+using overload::SlowStartNode;
 
 namespace {
 
@@ -28,14 +28,14 @@
 
 struct Host {
     Host(const Settings &settings, Micros started, Micros since)
-        : deal(settings), own(settings), born(since) {
+        : deal(settings), own(settings), started_at(since) {
         node.entry.stable_id = 5, node.entry.shard = ShardId{3};
-        node.cold_since = started, node.declared = true;
+        node.slow_start_began = started, node.start_listed = true;
     }
-    ColdQuota deal;
+    SlowStartBudget deal;
     Settings own;
-    ColdNode node;
-    Micros born;
+    SlowStartNode node;
+    Micros started_at;
 };
 struct Word {
     Micros at = 0;
@@ -55,33 +55,34 @@
     Micros clock(int h) const { return now + skews_[static_cast<std::size_t>(h)]; }
     bool spend(int h, double units) {
         Host &host = hosts_[static_cast<std::size_t>(h)];
-        if (!host.deal.bears(host.node, units, clock(h), host.born))
+        if (!host.deal.admits(host.node, units, clock(h), host.started_at))
             return false;
-        host.deal.spend(host.node, units, clock(h), host.born);
+        host.deal.spend(host.node, units, clock(h), host.started_at);
         sent.emplace_back(now, units);
         return true;
     }
-    std::optional<Word> ask(int h, double units) {
+    std::optional<Word> request_grant(int h, double units) {
         Host &host = hosts_[static_cast<std::size_t>(h)];
-        const auto word = host.deal.ask(host.node, units, clock(h));
+        const auto word = host.deal.request_grant(host.node, units, clock(h));
         return word ? std::optional(Word{now, h, *word->peer, word->data}) : std::nullopt;
     }
     std::optional<Word> deliver(const Word &word) {
         Host &host = hosts_[static_cast<std::size_t>(word.to)];
-        overload::ColdAllocator &allocators = host.deal.allocator();
-        const auto read = allocators.read(word.data);
+        overload::SlowStartAllocator &allocators = host.deal.allocator();
+        const auto read = allocators.decode(word.data);
         if (!read || read->node != host.node.entry.stable_id)
             return std::nullopt;
-        if (read->grant) {
-            allocators.take(host.node, *read, clock(word.to));
+        if (read->kind == overload::SlowStartMessage::Kind::Grant) {
+            allocators.accept_grant(host.node, *read, clock(word.to));
             return std::nullopt;
         }
-        const auto grant = allocators.answer(host.node, *read, word.from, clock(word.to), host.born);
+        const auto grant =
+            allocators.answer_request(host.node, *read, word.from, clock(word.to), host.started_at);
         return grant ? std::optional(Word{now, word.to, word.from, grant->data}) : std::nullopt;
     }
     void restart(int h) {
         Host &host = hosts_[static_cast<std::size_t>(h)];
-        used_before_ += host.deal.figures().used;
+        used_before_ += host.deal.metrics().used;
         host = Host(host.own, kStart, clock(h));
     }
     // The most within a window, of what the node bears at the window's beginning.
@@ -102,7 +103,7 @@
     std::uint64_t used() const {
         std::uint64_t all = used_before_;
         for (const Host &host : hosts_)
-            all += host.deal.figures().used;
+            all += host.deal.metrics().used;
         return all;
     }
     Micros now = kStart;
@@ -118,7 +119,7 @@
 
 } // namespace
 
-TEST(ColdTimeSlices, TenThousandSchedulesKeepEveryWindow) {
+TEST(SlowStartBudget, TenThousandSchedulesKeepEveryWindow) {
     std::uint64_t used = 0;
     double units[2] = {};
     for (unsigned seed = 1; seed <= 10'000; ++seed) {
@@ -154,11 +155,11 @@
             }
             const int h = pick(0, hosts - 1), wanted = pick(1, 5);
             if (!world.spend(h, wanted))
-                post(world.ask(h, wanted));
+                post(world.request_grant(h, wanted));
             if (pick(0, 19) == 0) // all have work at once
                 for (int all = 0; all < hosts; ++all)
                     if (!world.spend(all, 1))
-                        post(world.ask(all, 1));
+                        post(world.request_grant(all, 1));
             if (pick(0, 99) == 0)
                 world.restart(pick(0, hosts - 1));
         }
@@ -174,12 +175,12 @@
 
 // Two brokers that talk: requests, grants, both spending all they may, one datagram twice, a restart, a wait,
 // in every order.
-TEST(ColdTimeSlices, AllOrdersOfTwoHostsKeepEveryWindow) {
+TEST(SlowStartBudget, AllOrdersOfTwoHostsKeepEveryWindow) {
     std::vector<int> order(8);
     std::iota(order.begin(), order.end(), 0);
     World scout(2, 8, true, {}, 500 * kWindow);
     for (bool given = false; !given; scout.now += kWindow / 4) { // until the one can give to the other
-        const auto request = scout.ask(0, 2);
+        const auto request = scout.request_grant(0, 2);
         given = request && scout.deliver(*request);
     }
     std::uint64_t used = 0;
@@ -200,7 +201,7 @@
             for (const int what : order) {
                 world.now += kWindow / 32;
                 if (what == 0 || what == 1)
-                    if (auto word = world.ask(what, 2))
+                    if (auto word = world.request_grant(what, 2))
                         words.push_back(*word);
                 if (what == 2 || what == 3)
                     deliver();
@@ -222,7 +223,7 @@
     EXPECT_GT(used, 0u);
 }
 
-TEST(ColdTimeSlices, WithTalkMostOfWhatItBearsIsUsed) {
+TEST(SlowStartBudget, WithTalkMostOfWhatItBearsIsUsed) {
     constexpr int kHosts = 100;
     double units[2] = {};
     for (const bool talk : {false, true}) {
@@ -232,7 +233,7 @@
             const int h = step * 37 % kHosts;
             if (world.spend(h, 2))
                 continue;
-            if (const auto request = world.ask(h, 2))
+            if (const auto request = world.request_grant(h, 2))
                 if (const auto grant = world.deliver(*request))
                     world.deliver(*grant), world.spend(h, 2);
         }
@@ -245,14 +246,15 @@
     EXPECT_GT(units[true], 0.5 * bears);
 }
 
-TEST(ColdTimeSlices, WhatMakesNoSenseIsCountedAndDropped) {
-    overload::ColdAllocator allocators(settings_for(8, 0, 6, kWindow, true));
+TEST(SlowStartBudget, WhatMakesNoSenseIsCountedAndDropped) {
+    overload::SlowStartAllocator allocators(settings_for(8, 0, 6, kWindow, true));
     for (const char *const bad : {"", "mw-cold1", "mw-cold1 ask ", "mw-cold1 ask 1 2", "mw-cold1 ask 1 2 0",
                                   "mw-cold1 give 1 2 -3", "mw-cold1 give 1 2 99999999999",
                                   "mw-cold2 ask 1 2 3", "mw-cold1 ask 1 2 3 4", "mw-turn1 ask 1 2 0 0"})
-        EXPECT_FALSE(allocators.read(bad)) << bad;
-    EXPECT_EQ(allocators.figures().malformed, 10u);
-    const auto good = allocators.read("mw-cold1 give ffffffffffffffff a 3");
+        EXPECT_FALSE(allocators.decode(bad)) << bad;
+    EXPECT_EQ(allocators.metrics().malformed, 10u);
+    const auto good = allocators.decode("mw-cold1 give ffffffffffffffff a 3");
     ASSERT_TRUE(good);
-    EXPECT_TRUE(good->grant && good->node == ~0ull && good->number == 10 && good->units == 3);
+    EXPECT_TRUE(good->kind == overload::SlowStartMessage::Kind::Grant && good->node == ~0ull &&
+                good->request_number == 10 && good->units == 3);
 }
