--- a/src/app/app.hpp
+++ b/src/app/app.hpp
@@ -27,9 +27,9 @@
 // held until they have set up what it asks for.
 int serve(const std::string &path, config::Config config, const config::Operator &added,
           core::HeldSignal &hangup);
-int keep(const std::string &operators, core::HeldSignal &hangup);
+int run_cell_coordinator(const std::string &operators, core::HeldSignal &hangup);
 int distribute(const std::string &path, core::HeldSignal &hangup);
-// One call to the operators' address of a keeper or broker. 0: yes, 1: no, 2: no answer.
+// One call to the operators' address of a cell coordinator or broker. 0: done, 1: refused, 2: no reply.
 int call_cells(const std::string &control, const std::string &call, const std::vector<std::string> &words);
 
 } // namespace marblewood::app
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -56,7 +56,7 @@
         if (*cells)
             return call_cells(control, call, words);
         if (*keeper)
-            return keep(operators, hangup);
+            return run_cell_coordinator(operators, hangup);
         if (*distributor)
             return distribute(distributor_file, hangup);
         if (path.empty())
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -2,7 +2,7 @@
 
 #include "core/request_dispatcher.hpp"
 #include "net/address.hpp"
-#include "net/cells/residence.hpp"
+#include "net/cells/cell_router.hpp"
 #include "net/clients.hpp"
 #include "net/control/control.hpp"
 #include "net/costs.hpp"
@@ -171,17 +171,18 @@
         -> core::RequestDispatcher & { // a volume always goes through the same one
         return *dispatchers[static_cast<std::uint64_t>(r.facts.volume) % dispatchers.size()];
     };
-    std::optional<net::cells::Residence> residence;
+    std::optional<net::cells::CellRouter> cell_router;
     if (layout) {
         const marblewood::cells::Broker *const own = layout->map.broker(config.name);
         if (!own)
             throw config::Error(fmt::format("field 'cells': no broker is called '{}'", config.name));
-        residence.emplace(io, deadlines, memory, budget, config.settings, *layout, config.name,
-                          net::listen_at(io, address<tcp::endpoint>(own->link, "cells")), random(), usual);
+        cell_router.emplace(io, deadlines, memory, budget, config.settings, *layout, config.name,
+                            net::listen_at(io, address<tcp::endpoint>(own->link_address, "cells")), random(),
+                            usual);
     }
     const core::FrontEndServices services{[&](const core::Request &r) -> core::RequestHandler & {
-                                              return residence
-                                                         ? static_cast<core::RequestHandler &>(*residence)
+                                              return cell_router
+                                                         ? static_cast<core::RequestHandler &>(*cell_router)
                                                          : usual(r);
                                           },
                                           [&] { return random(); },
@@ -194,8 +195,8 @@
     net::EndpointRegistry fleet(nodes, zones, mapping, resp_port, nvme_port, ports, dispatchers);
     const auto told = [&](const net::discovery::Reading &reading) {
         fleet.told(reading);
-        if (residence)
-            residence->ready_nodes(fleet.ready());
+        if (cell_router)
+            cell_router->set_ready_nodes(fleet.ready());
     };
     if (!config.discovery.empty())
         discovery.emplace(io, deadlines, config.settings,
@@ -212,19 +213,19 @@
             documents.emplace(io, deadlines, selector, config.name, config.settings.seed,
                               [&](const config::Operations &operations, distribution::Revision) {
                                   fleet.cordon_fleet(operations.cordons);
-                                  if (residence)
-                                      residence->ready_nodes(fleet.ready());
+                                  if (cell_router)
+                                      cell_router->set_ready_nodes(fleet.ready());
                               });
         discovery->use(std::move(selector));
     }
     if (!discovery)
         core::log("configuration: no 'discovery': the nodes in 'known' are all there are, and none drains");
-    if (residence) {
-        residence->confined = [&] {
-            fleet.confine([&](const std::string &id) { return residence->allows(id); });
-            residence->ready_nodes(fleet.ready());
+    if (cell_router) {
+        cell_router->on_nodes_changed = [&] {
+            fleet.confine([&](const std::string &id) { return cell_router->owns_node(id); });
+            cell_router->set_ready_nodes(fleet.ready());
         };
-        residence->confined();
+        cell_router->on_nodes_changed();
     }
     if (!config.peer_listen.empty() && config.settings.peers) {
         std::vector<asio::ip::udp::endpoint> others;
@@ -313,27 +314,27 @@
         if (documents)
             text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
                                 documents->in_force(), documents->refused());
-        if (residence)
-            text += residence->stats();
+        if (cell_router)
+            text += cell_router->stats();
         return text;
     };
     std::optional<net::handover::Handover> handover;
     const auto cordon = [&](const std::string &id, bool out) {
         const bool known = out ? fleet.cordon(id) : fleet.uncordon(id);
-        if (residence)
-            residence->ready_nodes(fleet.ready());
+        if (cell_router)
+            cell_router->set_ready_nodes(fleet.ready());
         if (known && handover)
             handover->tell_predecessor(id, out);
         return known;
     };
     operations.cordon = [&](const std::string &id) { return cordon(id, true); };
     operations.uncordon = [&](const std::string &id) { return cordon(id, false); };
-    if (residence)
+    if (cell_router)
         operations.cells = [&](std::string what, std::string body,
                                bool) -> asio::awaitable<std::pair<int, std::string>> {
             if (what == "here")
-                co_return std::pair(200, residence->spell());
-            const auto reply = co_await residence->ask_keeper(std::move(what), std::move(body));
+                co_return std::pair(200, cell_router->status());
+            const auto reply = co_await cell_router->call_coordinator(std::move(what), std::move(body));
             if (!reply)
                 co_return std::pair(503, std::string("the keeper does not answer\n"));
             co_return std::pair(reply->ok ? 200 : 409, reply->text);
@@ -412,8 +413,8 @@
         handover->follow(std::move(legacy->channel));
         core::log("took over from a predecessor");
     }
-    if (residence)
-        residence->start();
+    if (cell_router)
+        cell_router->start();
     core::log("{} serves at {}", config.name, config.listen);
 
     asio::signal_set hangups(io, SIGHUP);
--- /dev/null
+++ b/src/cells/cell_coordinator.cpp
@@ -0,0 +1,123 @@
+#include "cells/cell_coordinator.hpp"
+
+namespace marblewood::cells {
+namespace {
+
+constexpr std::size_t kMaxDeltaPins = 256; // beyond that a snapshot is sent
+
+} // namespace
+
+CellCoordinator::CellCoordinator(CellMap initial, std::uint64_t origin, Timing timing)
+    : map_(std::move(initial)), origin_(origin), timing_(timing) {
+    validate(map_);
+    epoch_counter_ = map_.epoch.number;
+    map_.epoch.origin = origin_;
+}
+
+void CellCoordinator::restore(CoordinatorState state) {
+    epoch_counter_ = std::max(epoch_counter_, state.epoch_counter);
+    adopt_map(state.map);
+    operator_pins_ = std::move(state.operator_pins);
+    migrations_ = std::move(state.migrations);
+    std::erase_if(migrations_, [&](const auto &entry) { // the operators' file may have dropped a cell since
+        return !map_.cell(entry.second.source_cell) || !map_.cell(entry.second.target_cell);
+    });
+    for (auto &[volume, migration] : migrations_) {
+        migration.acknowledged.clear();
+        migration.last_sent = 0;
+        migration.stage_since = 0;
+        epoch_counter_ = std::max(epoch_counter_, migration.epoch.number);
+    }
+}
+
+/// Takes over what an earlier map knows better than the operators' file: pins and the cells' states.
+void CellCoordinator::adopt_map(const CellMap &map) {
+    map_.epoch = map.epoch;
+    map_.pins.clear();
+    for (const auto &[volume, cell] : map.pins)
+        if (map_.cell(cell))
+            map_.pins[volume] = cell;
+    for (Cell &cell : map_.cells) {
+        if (const Cell *const earlier = map.cell(cell.name)) {
+            cell.frozen = earlier->frozen;
+            cell.evacuated = earlier->evacuated;
+        }
+    }
+    epoch_counter_ = std::max(epoch_counter_, map.epoch.number);
+}
+
+MapDelta CellCoordinator::delta_to_published() const {
+    MapDelta delta{published_.epoch, map_.epoch, {}, active_migrations()};
+    for (const auto &[volume, cell] : map_.pins) {
+        const auto before = published_.pins.find(volume);
+        if (before == published_.pins.end() || before->second != cell)
+            delta.pins.push_back({volume, cell});
+    }
+    for (const auto &[volume, cell] : published_.pins)
+        if (!map_.pins.contains(volume))
+            delta.pins.push_back({volume, ""});
+    return delta;
+}
+
+/// Gives the map its next epoch and sends it to all brokers: a delta to those that hold the last one, if only
+/// pins have changed, and a snapshot to the others.
+void CellCoordinator::publish_map(CoordinatorActions &actions) {
+    map_.epoch = next_epoch();
+    actions.emplace_back(SaveState{});
+    const MapDelta delta = delta_to_published();
+    const bool delta_suffices =
+        published_.cells == map_.cells && published_.spare_nodes == map_.spare_nodes &&
+        published_.brokers_per_volume == map_.brokers_per_volume && delta.pins.size() <= kMaxDeltaPins;
+    for (const Cell &cell : map_.cells) {
+        for (const Broker &broker : cell.brokers) {
+            const auto status = brokers_.find(broker.name);
+            const bool heard = status != brokers_.end();
+            if (delta_suffices && heard && status->second.map_epoch == published_.epoch)
+                actions.emplace_back(OutgoingMessage{broker.name, delta});
+            else
+                send_snapshot(broker.name, actions);
+            if (heard)
+                status->second.map_epoch = map_.epoch; // if it is lost, the next heartbeat tells
+        }
+    }
+    published_ = map_;
+}
+
+std::vector<ActiveMigration> CellCoordinator::active_migrations() const {
+    std::vector<ActiveMigration> all;
+    all.reserve(migrations_.size());
+    for (const auto &[volume, migration] : migrations_)
+        all.push_back(
+            {volume, migration.epoch, migration.source_cell, migration.target_cell, migration.arbiter});
+    return all;
+}
+
+void CellCoordinator::send_snapshot(const std::string &broker, CoordinatorActions &actions) const {
+    actions.emplace_back(OutgoingMessage{broker, MapSnapshot{map_, active_migrations()}});
+}
+
+void CellCoordinator::on_message(Micros now, const std::string &sender, const Message &message,
+                                 CoordinatorActions &actions) {
+    now_ = now;
+    if (!map_.broker(sender))
+        return;
+    if (const auto *reply = std::get_if<StepReply>(&message))
+        on_reply(now, sender, *reply, actions);
+    if (const auto *heartbeat = std::get_if<Heartbeat>(&message))
+        on_heartbeat(now, sender, *heartbeat, actions);
+    if (const auto *stale = std::get_if<StaleMap>(&message))
+        on_stale_map(*stale, actions);
+}
+
+void CellCoordinator::tick(Micros now, CoordinatorActions &actions) {
+    now_ = now;
+    if (!has_quorum_)
+        return;
+    resend_or_abort(now, actions);
+    std::erase_if(known_volumes_,
+                  [&](const auto &entry) { return now - entry.second.reported_at > timing_.volume_expiry; });
+    std::erase_if(retry_after_, [&](const auto &entry) { return entry.second <= now; });
+    rebalance(now, actions);
+}
+
+} // namespace marblewood::cells
--- a/src/cells/messages.hpp
+++ b/src/cells/messages.hpp
@@ -1,110 +1,153 @@
-// What keeper and brokers say to each other about cells. Any of it may be lost, doubled, reordered or late.
+/// \file
+/// Messages between the cell coordinator and the cell members (brokers). Any of them may be lost, duplicated,
+/// reordered or late; receivers are idempotent. Encoding: net/link/codec.hpp.
 #pragma once
 
-#include "cells/map.hpp"
+#include "cells/cell_map.hpp"
 
 #include <variant>
 
 namespace marblewood::cells {
 
-// What a source gives up of a volume, and its targets take over. The units are of all that gave; each target
-// takes an even part.
-struct Left {
-    double limit = 0;   // units in the plan's limit's store
-    double reserve = 0; // units in the reserve's store
-    struct Key {        // of a keyed write whose repeat window is open
-        std::uint64_t hash = 0;
-        Micros until = 0;   // Unix time
-        std::string source; // the broker that serves its repeats
-        bool operator==(const Key &) const = default;
-    };
-    std::vector<Key> keys;
-    bool operator==(const Left &) const = default;
+/// Name by which messages address the coordinator; brokers have names that are not empty.
+inline const std::string kCoordinator;
+
+/// An idempotency key whose deduplication window is still open.
+struct TransferredKey {
+    std::uint64_t hash = 0;
+    Micros expires_at = 0; ///< Unix time, us.
+    std::string broker;    ///< Serves the repeats of this key.
+    bool operator==(const TransferredKey &) const = default;
+};
+
+/// What source brokers give up of a volume and its target brokers take over. Units are the sum over all
+/// sources; each target gets an even part.
+struct TransferredQuota {
+    double limit_units = 0;   ///< Left in the plan's limit.
+    double reserve_units = 0; ///< Left in the plan's reserve.
+    std::vector<TransferredKey> keys;
+    bool operator==(const TransferredQuota &) const = default;
+};
+
+/// Numbers are part of the wire format.
+enum class StepKind : std::uint8_t { Prepare, Fence, Adopt, Open, Release, Abort };
+
+/// Coordinator to member: carry out one step of a migration. Sent again until it is answered.
+struct MigrationStep {
+    StepKind kind = StepKind::Prepare;
+    VolumeId volume{};
+    Epoch migration;
+    std::string source_cell;
+    std::string target_cell;
+    std::string arbiter;    ///< Target broker whose record decides whether the migration happened.
+    TransferredQuota quota; ///< Adopt: this broker's part.
+    bool operator==(const MigrationStep &) const = default;
+};
+
+/// Numbers are part of the wire format.
+enum class StepStatus : std::uint8_t {
+    Ready,     ///< Target: accepts the volume.
+    Declined,  ///< Target: cannot accept it.
+    Fenced,    ///< Source: takes nothing new, requests are still open.
+    Drained,   ///< Source: nothing is open, the quota is given up.
+    Adopted,   ///< Target: holds its part of the quota.
+    Opened,    ///< Target: serves the volume.
+    Released,  ///< Source: has forgotten the volume.
+    Aborted,   ///< The migration never happens here.
+    Superseded ///< The step belongs to a migration that is over here.
+};
+
+/// Member to coordinator: the result of a step.
+struct StepReply {
+    StepStatus status = StepStatus::Superseded;
+    VolumeId volume{};
+    Epoch migration;
+    TransferredQuota quota; ///< Drained.
+    std::string reason;     ///< Declined.
+    bool operator==(const StepReply &) const = default;
 };
 
-enum class Verb : std::uint8_t { Prepare, Fence, Adopt, Open, Forget, Abort };
-// To a broker: a step of a move. Repeated until it is answered.
-struct Order {
-    Verb verb = Verb::Prepare;
+/// A volume's load as one broker sees it.
+struct VolumeLoad {
     VolumeId volume{};
-    Epoch move;
-    std::string from, to; // cells
-    std::string teller;   // the target broker whose word decides
-    Left left;            // Adopt: this broker's part
-    bool operator==(const Order &) const = default;
+    double reserve_rate = 0;    ///< Units a second, by its plan.
+    double rate = 0;            ///< Units a second, served through this broker.
+    double priority_weight = 0; ///< Of one unit.
+    bool operator==(const VolumeLoad &) const = default;
 };
 
-enum class Word : std::uint8_t {
-    Ready,    // target: will take it
-    Declined, // target: can't
-    Fenced,   // source: takes nothing new, still has some open
-    Drained,  // source: nothing open, `left` given up
-    Adopted,
-    Opened,
-    Forgotten,
-    Aborted,
-    Void // the order belongs to a move that is over here
+/// Member to coordinator: at its start, at each reconnection, and once per heartbeat interval. Member to
+/// member: a request for a newer map.
+struct Heartbeat {
+    Epoch map_epoch;                 ///< Of the map that it holds.
+    std::uint64_t highest_epoch = 0; ///< Number it has seen, of maps and migrations.
+    std::vector<VolumeLoad> volumes; ///< The busiest that it served lately; bounded.
+    std::uint64_t unlisted_volumes = 0;
+    std::uint32_t ready_nodes = 0; ///< Nodes of its cell that take requests.
 };
-struct Answer {
-    Word word = Word::Void;
+
+struct ActiveMigration {
     VolumeId volume{};
-    Epoch move;
-    Left left;       // Drained
-    std::string why; // Declined
-    bool operator==(const Answer &) const = default;
+    Epoch migration;
+    std::string source_cell;
+    std::string target_cell;
+    std::string arbiter;
+    bool operator==(const ActiveMigration &) const = default;
 };
 
-// A broker to the keeper, at its start, at each reconnection, and every second.
-struct Hello {
-    Epoch map;                  // that it holds
-    std::uint64_t greatest = 0; // number it has met, of maps and moves
-    struct Volume {             // that it served lately
-        VolumeId volume{};
-        double reserve = 0; // units a second, by its plan
-        double rate = 0;    // units a second, served through this broker
-        double worth = 0;   // of a unit
-        bool operator==(const Volume &) const = default;
-    };
-    std::vector<Volume> volumes; // the heaviest, bounded
-    std::uint64_t others = 0;    // volumes that are not listed
-    std::uint32_t ready = 0;     // nodes of its cell that may be sent to
+/// The whole map, with the migrations under way, so that a broker that restarts knows what is fenced.
+struct MapSnapshot {
+    CellMap map;
+    std::vector<ActiveMigration> migrations;
 };
 
-// The whole map, with the moves under way, so that a broker that starts anew knows what is fenced.
-struct News {
-    Map map;
-    struct Moving {
-        VolumeId volume{};
-        Epoch move;
-        std::string from, to, teller;
-        bool operator==(const Moving &) const = default;
-    };
-    std::vector<Moving> moving;
+struct PinChange {
+    VolumeId volume{};
+    std::string cell; ///< Empty: the pin is removed.
 };
-// What has changed since the map before, where only pins have: to brokers that hold that map. Others answer
-// with a Hello, and get the whole.
-struct Change {
-    Epoch base, epoch;
-    std::vector<std::pair<VolumeId, std::string>> pins; // an empty name: no pin any more
-    std::vector<News::Moving> moving;
+
+/// Difference to the previous map where only pins have changed, for brokers that hold that map. Others answer
+/// with a heartbeat and get a snapshot.
+struct MapDelta {
+    Epoch base;
+    Epoch epoch;
+    std::vector<PinChange> pins;
+    std::vector<ActiveMigration> migrations;
 };
-struct Behind { // the answer to News of a number already met: the keeper goes on above it
-    Epoch map;
-    std::uint64_t greatest = 0;
-    Map own; // what the broker holds
+
+/// Member to coordinator: the snapshot just received is not newer than the map already held. The coordinator
+/// continues above its epoch.
+struct StaleMap {
+    Epoch map_epoch;
+    std::uint64_t highest_epoch = 0;
+    CellMap held_map;
 };
 
-struct Ask { // a source that is fenced and hears nothing, to the teller
+/// Fenced source, which hears nothing, to the arbiter: how did the migration end?
+struct OutcomeQuery {
     VolumeId volume{};
-    Epoch move;
-    std::string from, to;
+    Epoch migration;
+    std::string source_cell;
+    std::string target_cell;
 };
-struct Told { // the teller's word, written down before it is said
+
+/// The arbiter's answer; durable before it is sent.
+struct OutcomeReply {
     VolumeId volume{};
-    Epoch move;
-    bool opened = false; // else: it never will be
+    Epoch migration;
+    bool opened = false; ///< Otherwise it never will be.
+};
+
+using Message = std::variant<MigrationStep, StepReply, Heartbeat, MapSnapshot, MapDelta, StaleMap,
+                             OutcomeQuery, OutcomeReply>;
+
+/// Action of a state machine: send this message. It may be lost.
+struct OutgoingMessage {
+    std::string to; ///< A broker's name, or kCoordinator.
+    Message message;
 };
 
-using Message = std::variant<Order, Answer, Hello, News, Change, Behind, Ask, Told>;
+/// Action of a state machine: its state must be durable before any message behind this action goes out.
+struct SaveState {};
 
 } // namespace marblewood::cells
--- a/src/cells/placement.cpp
+++ b/src/cells/placement.cpp
@@ -3,43 +3,56 @@
 #include <algorithm>
 
 namespace marblewood::cells {
+namespace {
 
-bool fits(const Cell &cell, double reserve, const Promised &promised) {
-    const auto at = promised.find(cell.name);
-    return (at == promised.end() ? 0 : at->second) + reserve <= kReserved * cell.capacity;
+/// Priority weight served a second for each unit of capacity taken. A volume without a reserve competes with
+/// no reserve for capacity and comes last.
+double weight_per_capacity(const VolumeDemand &volume) {
+    if (volume.reserve_rate <= 0)
+        return -1;
+    return volume.priority_weight * std::min(volume.rate, volume.reserve_rate) / volume.reserve_rate;
 }
 
-std::optional<std::string> place(const Map &map, VolumeId volume, double reserve, const Promised &promised,
-                                 const std::set<std::string> &without) {
-    for (const Cell *cell : preference(map, volume))
-        if (!cell->frozen && !cell->evacuated && !without.contains(cell->name) &&
-            fits(*cell, reserve, promised))
+bool evacuates_before(const VolumeDemand &a, const VolumeDemand &b) {
+    const double density_a = weight_per_capacity(a);
+    const double density_b = weight_per_capacity(b);
+    if (density_a != density_b)
+        return density_a > density_b;
+    const double weight_a = a.priority_weight * a.rate;
+    const double weight_b = b.priority_weight * b.rate;
+    return weight_a != weight_b ? weight_a > weight_b : a.volume < b.volume;
+}
+
+} // namespace
+
+bool has_capacity_for(const Cell &cell, double reserve_rate, const ReservedRates &reserved) {
+    const auto in_cell = reserved.find(cell.name);
+    const double already_reserved = in_cell == reserved.end() ? 0 : in_cell->second;
+    return already_reserved + reserve_rate <= kMaxReservedFraction * cell.capacity;
+}
+
+std::optional<std::string> choose_cell(const CellMap &map, VolumeId volume, double reserve_rate,
+                                       const ReservedRates &reserved, const std::set<std::string> &excluded) {
+    for (const Cell *cell : cells_by_preference(map, volume)) {
+        const bool accepts = !cell->frozen && !cell->evacuated && !excluded.contains(cell->name);
+        if (accepts && has_capacity_for(*cell, reserve_rate, reserved))
             return cell->name;
+    }
     return std::nullopt;
 }
 
-Evacuation evacuate(const Map &map, const std::string &cell, std::vector<Tenant> tenants, Promised promised) {
-    // What a tenant is worth a second, for each unit of room that it takes. One without a reserve takes no
-    // room of those with one: it comes last, the busiest first.
-    const auto density = [](const Tenant &t) {
-        return t.reserve > 0 ? t.worth * std::min(t.rate, t.reserve) / t.reserve : -1;
-    };
-    std::sort(tenants.begin(), tenants.end(), [&](const Tenant &a, const Tenant &b) {
-        const double x = density(a), y = density(b);
-        if (x != y)
-            return x > y;
-        const double v = a.worth * a.rate, w = b.worth * b.rate;
-        return v != w ? v > w : a.volume < b.volume;
-    });
-    Evacuation plan;
-    for (const Tenant &t : tenants) {
+EvacuationPlan plan_evacuation(const CellMap &map, const std::string &cell, std::vector<VolumeDemand> volumes,
+                               ReservedRates reserved) {
+    std::sort(volumes.begin(), volumes.end(), evacuates_before);
+    EvacuationPlan plan;
+    for (const VolumeDemand &demand : volumes) {
         // Without a reserve its usual rate must fit, or it would live off the others' spare capacity.
-        const double room = t.reserve > 0 ? t.reserve : t.rate;
-        if (const auto to = place(map, t.volume, room, promised, {cell})) {
-            plan.moves.emplace_back(t.volume, *to);
-            promised[*to] += room;
+        const double needed = demand.reserve_rate > 0 ? demand.reserve_rate : demand.rate;
+        if (const auto target = choose_cell(map, demand.volume, needed, reserved, {cell})) {
+            plan.migrations.push_back({demand.volume, *target});
+            reserved[*target] += needed;
         } else {
-            plan.left.push_back(t.volume);
+            plan.unplaced.push_back(demand.volume);
         }
     }
     return plan;
--- a/src/cells/placement.hpp
+++ b/src/cells/placement.hpp
@@ -1,35 +1,49 @@
-// Which cell takes a volume, so that its reserve fits. Free of I/O and of the clock.
+/// \file
+/// Chooses cells for volumes so that their reserved rates fit. Free of I/O and of the clock.
 #pragma once
 
-#include "cells/map.hpp"
+#include "cells/cell_map.hpp"
 
 #include <optional>
 
 namespace marblewood::cells {
 
-// The part of a cell's capacity that reserves may fill; the rest is for the nodes' own ups and downs.
-inline constexpr double kReserved = 0.85;
+/// Part of a cell's capacity that reserves may fill; the rest absorbs variations of the nodes.
+inline constexpr double kMaxReservedFraction = 0.85;
 
-// Units a second that are promised in each cell.
-using Promised = std::map<std::string, double>;
+/// Units a second that are reserved in each cell, by cell name.
+using ReservedRates = std::map<std::string, double>;
 
-// The first cell in the volume's order of preference into whose spare capacity the reserve fits. Cells that
-// are frozen, evacuated or named in `without` are passed over. Nothing: none has the room.
-std::optional<std::string> place(const Map &map, VolumeId volume, double reserve, const Promised &promised,
-                                 const std::set<std::string> &without = {});
-// Whether the reserve fits into this cell.
-bool fits(const Cell &cell, double reserve, const Promised &promised);
+/// Whether a reserve of `reserve_rate` units a second fits into the cell beside what is reserved already.
+bool has_capacity_for(const Cell &cell, double reserve_rate, const ReservedRates &reserved);
 
-struct Tenant { // a volume that is known, and what it asks
+/// The first cell in the volume's order of preference with capacity for the reserve. Frozen and evacuated
+/// cells and those in `excluded` are passed over. Nothing if no cell has the capacity.
+std::optional<std::string> choose_cell(const CellMap &map, VolumeId volume, double reserve_rate,
+                                       const ReservedRates &reserved,
+                                       const std::set<std::string> &excluded = {});
+
+/// A known volume and its demand.
+struct VolumeDemand {
+    VolumeId volume{};
+    double reserve_rate = 0;    ///< Units a second.
+    double rate = 0;            ///< Units a second, served lately.
+    double priority_weight = 0; ///< Of one unit.
+};
+
+struct PlannedMigration {
     VolumeId volume{};
-    double reserve = 0, rate = 0, worth = 0;
+    std::string target_cell;
 };
-struct Evacuation {
-    std::vector<std::pair<VolumeId, std::string>> moves; // in the order to be done
-    std::vector<VolumeId> left;                          // for which nobody has the room
+
+struct EvacuationPlan {
+    std::vector<PlannedMigration> migrations; ///< In the order in which they are to be started.
+    std::vector<VolumeId> unplaced;           ///< No cell has the capacity.
 };
-// Of the tenants of a cell: those worth the most for the room that they need go first, and what does not fit
-// stays. `promised` is what the other cells have given already.
-Evacuation evacuate(const Map &map, const std::string &cell, std::vector<Tenant> tenants, Promised promised);
+
+/// Plans the evacuation of a cell: volumes with the highest priority weight per unit of capacity go first,
+/// and what does not fit stays. `reserved` is what the other cells have given already.
+EvacuationPlan plan_evacuation(const CellMap &map, const std::string &cell, std::vector<VolumeDemand> volumes,
+                               ReservedRates reserved);
 
 } // namespace marblewood::cells
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -2,7 +2,7 @@
 // the brokers and the keeper themselves, as processes.
 #pragma once
 
-#include "cells/map.hpp"
+#include "cells/cell_map.hpp"
 #include "core/deadlines.hpp"
 #include "lab/lists.hpp"
 #include "lab/node.hpp"
@@ -89,7 +89,7 @@
     asio::io_context io_{1};
     core::Clock clock_;
     core::Deadlines deadlines_{io_, clock_};
-    cells::Map map_;
+    cells::CellMap map_;
     std::vector<Broker> brokers_;
     Process keeper_;
     int keeper_link_ = 0, keeper_control_ = 0;
--- a/src/lab/world_setup.cpp
+++ b/src/lab/world_setup.cpp
@@ -12,7 +12,7 @@
 
 void World::lay_out() {
     const Experiment &e = experiment_;
-    map_.spread = e.spread;
+    map_.brokers_per_volume = e.spread;
     keys_.resize(static_cast<std::size_t>(e.cells));
     keeper_link_ = free_port(), keeper_control_ = free_port();
     lists_.emplace(io_, deadlines_,
@@ -107,7 +107,7 @@
             for (std::size_t p = 0; p < settings_.plans.size(); ++p)
                 if (settings_.plans[p].name == kind.plan)
                     v.plan = static_cast<int>(p);
-            const cells::Cell &home = *map_.home(v.id);
+            const cells::Cell &home = *map_.home_cell(v.id);
             v.cell = static_cast<int>(&home - map_.cells.data());
             for (const cells::Broker *b : map_.brokers_of(v.id, home))
                 for (std::size_t i = 0; i < brokers_.size(); ++i)
@@ -138,7 +138,7 @@
     cells["keeper"]["link"] = fmt::format("127.0.0.1:{}", keeper_link_);
     cells["keeper"]["control"] = fmt::format("127.0.0.1:{}", keeper_control_);
     cells["state"] = (folder_ / "state").string();
-    cells["spread"] = map_.spread;
+    cells["spread"] = map_.brokers_per_volume;
     cells["forward"] = experiment_.forward;
     for (const cells::Cell &cell : map_.cells) {
         Json::Value one;
@@ -146,7 +146,7 @@
         one["capacity"] = cell.capacity;
         for (const cells::Broker &b : cell.brokers) {
             Json::Value row;
-            row["name"] = b.name, row["clients"] = b.clients, row["link"] = b.link;
+            row["name"] = b.name, row["clients"] = b.client_address, row["link"] = b.link_address;
             one["brokers"].append(std::move(row));
         }
         for (const std::string &node : cell.nodes)
--- a/src/net/cells/layout.hpp
+++ b/src/net/cells/layout.hpp
@@ -1,25 +1,27 @@
-// The `cells` part of the operator's file: the installation's cells, brokers and nodes, and where its keeper
-// is. One file serves the keeper and all brokers.
+/// \file
+/// The `cells` part of the operators' file: the installation's cells, brokers and nodes, and where its
+/// coordinator is. One file serves the coordinator and all brokers.
 #pragma once
 
-#include "cells/keeper.hpp"
+#include "cells/cell_coordinator.hpp"
 #include "config/decode.hpp"
 
-#include <boost/asio/ip/tcp.hpp>
+#include <string>
 
 namespace marblewood::net::cells {
 
 struct Layout {
-    marblewood::cells::Map map;
-    std::string keeper_link, keeper_control; // addresses
-    std::string state;        // a folder for states that outlive processes; empty: none is kept
-    bool forward = true;      // requests at the wrong broker; else they are refused
-    int most_forwarded = 256; // out at a time for each cell
-    int most_waiting = 1024;  // requests that wait for moves
-    marblewood::cells::Keeper::Timing timing;
+    marblewood::cells::CellMap map;
+    std::string coordinator_link;     ///< Address for messages from brokers.
+    std::string coordinator_control;  ///< Address for operators.
+    std::string state_directory;      ///< Empty: no state outlives its process.
+    bool forwarding_enabled = true;   ///< Forward requests at the wrong broker; otherwise reject them.
+    int max_forwarded_per_cell = 256; ///< Requests that are out at a time for each cell.
+    int max_waiting = 1024;           ///< Requests that wait for migrations.
+    marblewood::cells::CellCoordinator::Timing coordinator_timing;
 };
 
-// Throws config::Error naming the field.
+/// \throws config::Error naming the field.
 Layout read_layout(const Json::Value &cells);
 
 } // namespace marblewood::net::cells
--- a/src/net/link/codec.hpp
+++ b/src/net/link/codec.hpp
@@ -1,41 +1,67 @@
-// Cells' messages and states as bytes, by protobuf (cells.proto), and back. Reading throws Unreadable on what
-// is malformed, of another version, or out of range.
+/// \file
+/// Encodes messages and states of the cells as bytes, by protobuf (cells.proto), and decodes them.
 #pragma once
 
-#include "cells/keeper.hpp"
+#include "cells/coordinator_state.hpp"
+#include "cells/member_state.hpp"
 
 #include <stdexcept>
+#include <string>
+#include <string_view>
+#include <variant>
 
 namespace marblewood::net::link {
 
-struct Unreadable : std::runtime_error {
-    using std::runtime_error::runtime_error;
+/// Why bytes cannot be decoded.
+enum class DecodeFailure {
+    Malformed,          ///< No valid protobuf.
+    UnsupportedVersion, ///< Written by an incompatible version.
+    ChecksumMismatch,   ///< A state file that is truncated or corrupted.
+    UnknownMessage,     ///< A frame without a known body.
+    OutOfRange,         ///< An enumerator that is not known, or a negative or infinite quantity.
+    InvalidMap          ///< A cell map that validate() rejects.
 };
 
-inline constexpr std::uint32_t kVersion = 1;
+class DecodeError : public std::runtime_error {
+public:
+    DecodeError(DecodeFailure failure, const std::string &what)
+        : std::runtime_error(what), failure_(failure) {}
+    DecodeFailure failure() const { return failure_; }
 
-struct Call { // an operator's, passed on to the keeper
-    std::uint64_t number = 0;
-    std::string what, body;
+private:
+    DecodeFailure failure_;
 };
-struct Reply {
-    std::uint64_t number = 0;
+
+/// Of frames and state files.
+inline constexpr std::uint32_t kFormatVersion = 1;
+
+/// An operator's call that a broker passes on to the coordinator.
+struct OperatorCall {
+    std::uint64_t id = 0; ///< Chosen by the broker; the reply carries it.
+    std::string name;
+    std::string body;
+};
+struct OperatorReply {
+    std::uint64_t id = 0;
     bool ok = false;
     std::string text;
 };
-using Body = std::variant<marblewood::cells::Message, Call, Reply>;
+
+using FrameBody = std::variant<marblewood::cells::Message, OperatorCall, OperatorReply>;
 struct Frame {
-    std::string from; // a broker's name; empty: the keeper
-    Body body;
+    std::string sender; ///< A broker's name, or cells::kCoordinator.
+    FrameBody body;
 };
 
 std::string encode(const Frame &frame);
-Frame decode(std::string_view bytes);
+/// \throws DecodeError
+Frame decode_frame(std::string_view bytes);
 
-// Sealed with a hash, so that a torn or spoilt file is told from a whole one.
-std::string encode(const marblewood::cells::Resident::State &state);
-std::string encode(const marblewood::cells::Keeper::State &state);
-marblewood::cells::Resident::State decode_resident(std::string_view bytes);
-marblewood::cells::Keeper::State decode_keeper(std::string_view bytes);
+/// State files carry a hash, so that a truncated or corrupted one is detected.
+std::string encode(const marblewood::cells::MemberState &state);
+std::string encode(const marblewood::cells::CoordinatorState &state);
+/// \throws DecodeError
+marblewood::cells::MemberState decode_member_state(std::string_view bytes);
+marblewood::cells::CoordinatorState decode_coordinator_state(std::string_view bytes);
 
 } // namespace marblewood::net::link
--- a/src/net/link/outbox.hpp
+++ b/src/net/link/outbox.hpp
@@ -1,40 +1,36 @@
-// Holds messages back until the state that they speak of is on disk.
+/// \file
+/// Holds messages back until the state that they speak of is durable.
 #pragma once
 
-#include "net/link/link.hpp"
+#include "net/link/peer_transport.hpp"
 #include "net/link/state_file.hpp"
 
 namespace marblewood::net::link {
 
+/// Runs on the loop of both; not thread-safe. The transport and the file must outlive it.
 class Outbox {
 public:
-    static constexpr std::size_t kMostWaiting = 8192;
-
-    Outbox(Link &link, StateFile &file) : link_(link), file_(file) {
-        file_.written = [this] { flush(); };
-    }
-    void save(std::string state) { needed_ = file_.save(std::move(state)); }
-    void post(std::string to, Body body) {
-        waiting_.push_back({needed_, std::move(to), std::move(body)});
-        if (waiting_.size() > kMostWaiting)
-            waiting_.pop_front(); // as if the network had lost it
-        flush();
-    }
+    static constexpr std::size_t kMaxHeldMessages = 8192; ///< Beyond, the oldest is dropped.
+
+    Outbox(PeerTransport &transport, StateFile &file);
+
+    /// Saves a state; messages posted from now on wait for it.
+    void save(std::string state);
+    /// Sends a message once every state saved before is durable.
+    void post(std::string peer, FrameBody body);
 
 private:
-    struct Waiting {
-        std::uint64_t needs;
-        std::string to;
-        Body body;
+    struct HeldMessage {
+        std::uint64_t required_state;
+        std::string peer;
+        FrameBody body;
     };
-    void flush() {
-        for (; !waiting_.empty() && waiting_.front().needs <= file_.on_disk(); waiting_.pop_front())
-            link_.send(waiting_.front().to, std::move(waiting_.front().body));
-    }
-    Link &link_;
+    void send_ready();
+
+    PeerTransport &transport_;
     StateFile &file_;
-    std::uint64_t needed_ = 0;
-    std::deque<Waiting> waiting_;
+    std::uint64_t newest_state_ = 0;
+    std::deque<HeldMessage> held_;
 };
 
 } // namespace marblewood::net::link
--- a/src/net/link/state_file.cpp
+++ b/src/net/link/state_file.cpp
@@ -4,7 +4,6 @@
 
 #include <boost/asio/post.hpp>
 #include <cerrno>
-#include <cstring>
 #include <fcntl.h>
 #include <filesystem>
 #include <fstream>
@@ -15,84 +14,103 @@
 namespace marblewood::net::link {
 namespace {
 
-constexpr std::chrono::milliseconds kRest{200}; // before a disk that failed is tried again
+constexpr std::chrono::milliseconds kRetryDelay{200}; // after a failed write
+constexpr mode_t kFileMode = 0600;
 
-// Empty where it went well.
-std::string write_whole(const std::string &path, const std::string &bytes) {
-    const auto trouble = [](const char *what) { return std::string(what) + ": " + std::strerror(errno); };
-    const std::string beside = path + ".new";
-    {
-        const Descriptor file(::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-        if (file.get() < 0)
-            return trouble("open");
-        for (std::size_t at = 0; at < bytes.size();) {
-            const auto got = ::write(file.get(), bytes.data() + at, bytes.size() - at);
-            if (got < 0 && errno == EINTR)
-                continue;
-            if (got <= 0)
-                return trouble("write");
-            at += static_cast<std::size_t>(got);
-        }
-        if (::fsync(file.get()) != 0)
-            return trouble("fsync");
+StateWriteError last_error(const char *operation) {
+    return {operation, std::error_code(errno, std::generic_category())};
+}
+
+std::optional<StateWriteError> write_and_flush(const std::string &path, const std::string &bytes) {
+    const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
+    if (file.get() < 0)
+        return last_error("open");
+    for (std::size_t written = 0; written < bytes.size();) {
+        const auto count = ::write(file.get(), bytes.data() + written, bytes.size() - written);
+        if (count < 0 && errno == EINTR)
+            continue;
+        if (count <= 0)
+            return last_error("write");
+        written += static_cast<std::size_t>(count);
     }
-    if (::rename(beside.c_str(), path.c_str()) != 0)
-        return trouble("rename");
-    const std::string folder = std::filesystem::path(path).parent_path();
-    const Descriptor dir(::open(folder.empty() ? "." : folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (dir.get() < 0 || ::fsync(dir.get()) != 0)
-        return trouble("fsync of the folder");
-    return {};
+    if (::fsync(file.get()) != 0)
+        return last_error("fsync");
+    return std::nullopt;
+}
+
+/// Makes the rename itself durable.
+std::optional<StateWriteError> flush_directory_of(const std::string &path) {
+    const std::string directory = std::filesystem::path(path).parent_path();
+    const Descriptor descriptor(
+        ::open(directory.empty() ? "." : directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (descriptor.get() < 0 || ::fsync(descriptor.get()) != 0)
+        return last_error("fsync of the folder");
+    return std::nullopt;
+}
+
+std::optional<StateWriteError> replace_file(const std::string &path, const std::string &bytes) {
+    const std::string temporary = path + ".new";
+    if (auto error = write_and_flush(temporary, bytes))
+        return error;
+    if (::rename(temporary.c_str(), path.c_str()) != 0)
+        return last_error("rename");
+    return flush_directory_of(path);
 }
 
 } // namespace
 
 std::optional<std::string> StateFile::load() const {
-    struct stat there {};
-    if (path_.empty() || ::stat(path_.c_str(), &there) != 0)
+    struct stat status {};
+    if (path_.empty() || ::stat(path_.c_str(), &status) != 0)
         return std::nullopt;
     std::ifstream file(path_, std::ios::binary);
     std::ostringstream bytes;
     if (!file || !(bytes << file.rdbuf()))
-        throw std::runtime_error("cannot read " + path_);
+        throw StateFileUnreadable(path_);
     return bytes.str();
 }
 
 std::uint64_t StateFile::save(std::string state) {
-    ++last_;
+    ++newest_;
     if (path_.empty())
-        done_ = last_;
+        durable_ = newest_;
     else
-        waiting_ = std::move(state);
-    if (!busy_)
-        next();
-    return last_;
+        pending_ = std::move(state);
+    if (!writing_)
+        write_next();
+    return newest_;
 }
 
-void StateFile::next() {
-    if (!waiting_)
+void StateFile::write_next() {
+    if (!pending_)
         return;
-    busy_ = true;
-    std::string state = std::move(*std::exchange(waiting_, std::nullopt));
-    boost::asio::post(pool_, [this, number = last_, state = std::move(state)] {
-        std::string trouble = write_whole(path_, state);
-        if (!trouble.empty())
-            std::this_thread::sleep_for(kRest);
-        boost::asio::post(io_, [this, number, state, trouble = std::move(trouble)] {
-            busy_ = false;
-            if (trouble.empty()) {
-                done_ = number;
-                if (written)
-                    written();
-            } else {
-                if (failed)
-                    failed(trouble);
-                if (!waiting_)
-                    waiting_ = state; // unless there is a newer one
-            }
-            next();
+    writing_ = true;
+    std::string state = std::move(*pending_);
+    pending_.reset();
+    boost::asio::post(pool_, [this, number = newest_, state = std::move(state)]() mutable {
+        auto error = replace_file(path_, state);
+        if (error)
+            std::this_thread::sleep_for(kRetryDelay);
+        boost::asio::post(io_, [this, number, state = std::move(state), error]() mutable {
+            on_written(number, std::move(state), error);
         });
     });
 }
 
+void StateFile::on_written(std::uint64_t number, std::string state,
+                           const std::optional<StateWriteError> &error) {
+    writing_ = false;
+    if (!error) {
+        durable_ = number;
+        if (on_durable)
+            on_durable();
+    } else {
+        if (on_write_error)
+            on_write_error(*error);
+        if (!pending_) // otherwise a newer state replaces it
+            pending_ = std::move(state);
+    }
+    write_next();
+}
+
 } // namespace marblewood::net::link
--- a/tests/cells_net_test.cpp
+++ b/tests/cells_net_test.cpp
@@ -252,10 +252,10 @@
     changed.replace(changed.find("\"capacity\":1000"), 15, "\"capacity\":2500");
     std::ofstream(all.folder / "operator.json") << changed.substr(1);
     all.keeper.signal(SIGHUP);
-    assert(said("layout not taken: malformed JSON"));
+    assert(said("coordinator_layout_rejected reason=\"malformed JSON"));
     std::ofstream(all.folder / "operator.json") << changed;
     all.keeper.signal(SIGHUP);
-    assert(said("layout taken"));
+    assert(said("coordinator_layout_reloaded cells=2"));
     assert(all.cells("GET", "list").second.find("a capacity 2500") != std::string::npos);
     assert(ask(*all.broker_b, get(kPiece)) == "a");
 }
--- a/tests/cells_samples.hpp
+++ b/tests/cells_samples.hpp
@@ -13,10 +13,10 @@
 using marblewood::VolumeId;
 using namespace marblewood::cells;
 
-inline Map sample_map() {
-    Map map;
+inline CellMap sample_map() {
+    CellMap map;
     map.epoch = {41, 0x1122334455667788};
-    map.spread = 2;
+    map.brokers_per_volume = 2;
     map.cells.push_back(
         {"a",
          1000.5,
@@ -25,89 +25,90 @@
          true,
          false});
     map.cells.push_back({"b", 2000, {{"b1", "127.0.0.1:6003", "127.0.0.1:7003"}}, {"node-3"}, false, true});
-    map.spare = {"node-9"};
+    map.spare_nodes = {"node-9"};
     map.pins = {{VolumeId{0x3b4d60021}, "a"}, {VolumeId{0xffeeddccbbaa9988}, "b"}, {VolumeId{7}, "a"}};
     return map;
 }
-inline Left sample_left() {
+inline TransferredQuota sample_quota() {
     return {12.25, 3.5, {{0xabcdef, 1'700'000'000'000'000, "a1"}, {0x1234, 1'700'000'000'500'000, "a2"}}};
 }
-inline std::vector<News::Moving> sample_moving() {
+inline std::vector<ActiveMigration> sample_active_migrations() {
     return {{VolumeId{0x3b4d60021}, {40, 0x99}, "a", "b", "b1"}, {VolumeId{9}, {39, 0x98}, "b", "a", "a2"}};
 }
 
 /// Every message with the name of its line in messages.hex, in the order of that file.
 inline std::vector<std::pair<std::string, link::Frame>> sample_frames() {
     const VolumeId volume{0x3b4d60021};
-    const Epoch move{40, 0x99};
+    const Epoch migration{40, 0x99};
     std::vector<std::pair<std::string, link::Frame>> all;
     for (int verb = 0; verb <= 5; ++verb)
         all.emplace_back("order-" + std::to_string(verb),
-                         link::Frame{"", Message(Order{static_cast<Verb>(verb), volume, move, "a", "b", "b1",
-                                                       sample_left()})});
+                         link::Frame{"", Message(MigrationStep{static_cast<StepKind>(verb), volume, migration,
+                                                               "a", "b", "b1", sample_quota()})});
     for (int word = 0; word <= 8; ++word)
         all.emplace_back("answer-" + std::to_string(word),
-                         link::Frame{"a1", Message(Answer{static_cast<Word>(word), volume, move,
-                                                          sample_left(), "not a broker of the cell"})});
+                         link::Frame{"a1", Message(StepReply{static_cast<StepStatus>(word), volume, migration,
+                                                             sample_quota(), "not a broker of the cell"})});
     all.emplace_back(
         "hello",
-        link::Frame{"a1", Message(Hello{
+        link::Frame{"a1", Message(Heartbeat{
                               {41, 0x77}, 43, {{volume, 200, 110.5, 1.25}, {VolumeId{8}, 1, 2, 3}}, 17, 4})});
-    all.emplace_back("news", link::Frame{"", Message(News{sample_map(), sample_moving()})});
+    all.emplace_back("news", link::Frame{"", Message(MapSnapshot{sample_map(), sample_active_migrations()})});
     all.emplace_back(
-        "change", link::Frame{"", Message(Change{{41, 0x77},
-                                                 {42, 0x78},
-                                                 {{VolumeId{1}, "a"}, {VolumeId{2}, ""}, {VolumeId{3}, "a"}},
-                                                 sample_moving()})});
-    all.emplace_back("behind", link::Frame{"b1", Message(Behind{{41, 0x77}, 43, sample_map()})});
-    all.emplace_back("ask", link::Frame{"a2", Message(Ask{volume, move, "a", "b"})});
-    all.emplace_back("told-opened", link::Frame{"b1", Message(Told{volume, move, true})});
-    all.emplace_back("told-never", link::Frame{"b1", Message(Told{volume, move, false})});
-    all.emplace_back("call", link::Frame{"a1", link::Call{12, "move", "00000003b4d60021 b"}});
-    all.emplace_back("reply", link::Frame{"", link::Reply{12, true, "move 40 has begun\n"}});
+        "change",
+        link::Frame{"", Message(MapDelta{{41, 0x77},
+                                         {42, 0x78},
+                                         {{VolumeId{1}, "a"}, {VolumeId{2}, ""}, {VolumeId{3}, "a"}},
+                                         sample_active_migrations()})});
+    all.emplace_back("behind", link::Frame{"b1", Message(StaleMap{{41, 0x77}, 43, sample_map()})});
+    all.emplace_back("ask", link::Frame{"a2", Message(OutcomeQuery{volume, migration, "a", "b"})});
+    all.emplace_back("told-opened", link::Frame{"b1", Message(OutcomeReply{volume, migration, true})});
+    all.emplace_back("told-never", link::Frame{"b1", Message(OutcomeReply{volume, migration, false})});
+    all.emplace_back("call", link::Frame{"a1", link::OperatorCall{12, "move", "00000003b4d60021 b"}});
+    all.emplace_back("reply", link::Frame{"", link::OperatorReply{12, true, "move 40 has begun\n"}});
     return all;
 }
 
 /// A broker's state with a record in each of the seven stages.
-inline Resident::State sample_member_state() {
-    Resident::State state;
+inline MemberState sample_member_state() {
+    MemberState state;
     state.map = sample_map();
-    state.greatest = 47;
+    state.highest_epoch = 47;
     for (int stage = 0; stage <= 6; ++stage)
         state.records[VolumeId{100u + static_cast<unsigned>(stage)}] = {
             {40u + static_cast<unsigned>(stage), 0x99},
-            static_cast<Resident::Stage>(stage),
+            static_cast<MemberStage>(stage),
             "a",
             "b",
             "b1",
-            sample_left(),
+            sample_quota(),
             123'456'789 + stage,
             "b",
             30u + static_cast<unsigned>(stage)};
-    state.moving = {39, 40};
+    state.active_migrations = {39, 40};
     return state;
 }
 
 /// A coordinator's state with a migration in each of the eight stages.
-inline Keeper::State sample_coordinator_state() {
-    Keeper::State state;
+inline CoordinatorState sample_coordinator_state() {
+    CoordinatorState state;
     state.map = sample_map();
-    state.counter = 48;
-    state.by_operator = {VolumeId{7}, VolumeId{0x3b4d60021}};
+    state.epoch_counter = 48;
+    state.operator_pins = {VolumeId{7}, VolumeId{0x3b4d60021}};
     for (int stage = 0; stage <= 7; ++stage) {
-        Keeper::Move move;
-        move.epoch = {40u + static_cast<unsigned>(stage), 0x99};
-        move.from = "a";
-        move.to = "b";
-        move.teller = "b1";
-        move.by_operator = stage % 2 == 0;
-        move.stage = static_cast<Keeper::Stage>(stage);
-        move.sources = {"a1", "a2"};
-        move.targets = {"b1"};
-        move.left["a1"] = sample_left();
-        move.open_sent = stage > 3;
-        move.why = stage == 7 ? "b1 declines: no node of the cell takes requests" : "";
-        state.moves[VolumeId{200u + static_cast<unsigned>(stage)}] = std::move(move);
+        Migration migration;
+        migration.epoch = {40u + static_cast<unsigned>(stage), 0x99};
+        migration.source_cell = "a";
+        migration.target_cell = "b";
+        migration.arbiter = "b1";
+        migration.by_operator = stage % 2 == 0;
+        migration.stage = static_cast<MigrationStage>(stage);
+        migration.sources = {"a1", "a2"};
+        migration.targets = {"b1"};
+        migration.quota_by_source["a1"] = sample_quota();
+        migration.open_sent = stage > 3;
+        migration.abort_reason = stage == 7 ? "b1 declines: no node of the cell takes requests" : "";
+        state.migrations[VolumeId{200u + static_cast<unsigned>(stage)}] = std::move(migration);
     }
     return state;
 }
