--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-using net::discovery::Discovery;
+using discovery::DiscoveryClient;
 using net::lists::Channel;
 using net::lists::ListServer;
 
@@ -70,7 +70,7 @@
     figures.count("put_off", sum.put_off);
 }
 
-void put_traffic(Figures &figures, const ListServer &server, const net::discovery::Traffic &parent) {
+void put_traffic(Figures &figures, const ListServer &server, const discovery::DiscoveryMetrics &parent) {
     const auto &own = server.figures();
     figures.count("accepted", own.accepted);
     figures.count("turned_away", own.turned_away);
@@ -83,8 +83,8 @@
     figures.count("parent_received_bytes", parent.received_bytes);
     figures.count("parent_failed", parent.failed);
     figures.count("parent_malformed", parent.malformed);
-    figures.count("parent_older", parent.older);
-    figures.count("parent_partial", parent.partial);
+    figures.count("parent_older", parent.stale);
+    figures.count("parent_partial", parent.incomplete);
 }
 
 // How far the configuration's newest version has come: who has it, who has not, and for how long (ms).
@@ -139,29 +139,31 @@
         const std::string first = parents.current().address;
         nodes_watch_.emplace(
             io_, deadlines_, net::lists::shared_service(seed),
-            address<tcp::endpoint>(first, "parents.address"), first, net::discovery::kNothingKnown,
-            net::discovery::list_feed(nodes_, zones_), [this](const net::discovery::Reading &reading) {
+            discovery::SourceAddress{address<tcp::endpoint>(first, "parents.address"), first},
+            discovery::kNoRevision, discovery::node_list(nodes_, zones_),
+            [this](const discovery::ListResponse &reading) {
                 nodes_.forget_if([](std::uint32_t) { return true; }); // names of one answer at a time
                 zones_.forget_if([](std::uint32_t) { return true; });
                 take(Channel::Nodes, net::lists::to_update(reading));
             });
-        nodes_watch_->use(std::move(parents));
+        nodes_watch_->use_distributors(std::move(parents));
     }
 
     void watch_documents(std::uint64_t seed) {
         auto parents = selector(config_.document_parents, seed);
         const std::string first = parents.current().address;
-        net::discovery::Feed feed{net::lists::kDocumentsPath, net::lists::read_documents, [this] {
-                                      const auto below = server_.reports().subtree(clock_.now());
-                                      return spell(net::lists::Report{config_.name, std::nullopt, below});
-                                  }};
-        documents_watch_.emplace(io_, deadlines_, net::lists::shared_service(seed),
-                                 address<tcp::endpoint>(first, "documents.parents.address"), first,
-                                 net::discovery::kNothingKnown, std::move(feed),
-                                 [this](const net::discovery::Reading &reading) {
-                                     take(Channel::Documents, net::lists::to_update(reading));
-                                 });
-        documents_watch_->use(std::move(parents));
+        discovery::WatchedResource feed{
+            net::lists::kDocumentsPath, net::lists::read_documents, [this] {
+                const auto below = server_.reports().subtree(clock_.now());
+                return spell(net::lists::Report{config_.name, std::nullopt, below});
+            }};
+        documents_watch_.emplace(
+            io_, deadlines_, net::lists::shared_service(seed),
+            discovery::SourceAddress{address<tcp::endpoint>(first, "documents.parents.address"), first},
+            discovery::kNoRevision, std::move(feed), [this](const discovery::ListResponse &reading) {
+                take(Channel::Documents, net::lists::to_update(reading));
+            });
+        documents_watch_->use_distributors(std::move(parents));
     }
 
     void take(Channel channel, const distribution::Update &update) {
@@ -214,7 +216,7 @@
         figures.gauge("members", log.size());
         put_callers(figures, server_);
         put_answers(figures, server_);
-        put_traffic(figures, server_, nodes_watch_->traffic());
+        put_traffic(figures, server_, nodes_watch_->metrics());
         put_documents(figures, server_, clock_.now());
         return figures.text;
     }
@@ -225,7 +227,7 @@
     core::Deadlines deadlines_{io_, clock_};
     ListServer server_;
     config::Names nodes_, zones_;
-    std::optional<Discovery> nodes_watch_, documents_watch_;
+    std::optional<DiscoveryClient> nodes_watch_, documents_watch_;
     std::optional<net::control::Control> control_;
     asio::signal_set hangups_{io_, SIGHUP};
 };
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -53,7 +53,7 @@
         address<tcp::endpoint>(fresh.listen, "listen");
         if (!fresh.known.isNull()) { // must be readable, but is older than what discovery has told
             config::Names nodes, zones;
-            net::discovery::read(fresh.known, nodes, zones);
+            discovery::decode_node_list(fresh.known, nodes, zones);
         }
         for (const std::string &name : fresh.file.getMemberNames())
             if (name != "discovery" && name != "known" && name != "seed" &&
@@ -134,7 +134,7 @@
         return found == legacy->sockets.end() ? net::Descriptor() : std::move(found->second);
     };
 
-    std::optional<net::discovery::Discovery> discovery;
+    std::optional<discovery::DiscoveryClient> discovery;
     std::optional<net::lists::DocumentWatch> documents;
     std::optional<net::peers::Peers> peers;
     core::DispatcherCallbacks around;
@@ -192,16 +192,17 @@
                                           figures};
 
     net::EndpointRegistry fleet(nodes, zones, mapping, resp_port, nvme_port, ports, dispatchers);
-    const auto told = [&](const net::discovery::Reading &reading) {
+    const auto told = [&](const discovery::ListResponse &reading) {
         fleet.told(reading);
         if (residence)
             residence->ready_nodes(fleet.ready());
     };
     if (!config.discovery.empty())
-        discovery.emplace(io, deadlines, config.settings,
-                          address<tcp::endpoint>(config.discovery, "discovery"), config.discovery,
-                          config.known.isNull() ? 0 : config::need_integer(config.known, "revision"),
-                          net::discovery::list_feed(nodes, zones), told);
+        discovery.emplace(
+            io, deadlines, discovery::watch_options(config.settings),
+            discovery::SourceAddress{address<tcp::endpoint>(config.discovery, "discovery"), config.discovery},
+            config.known.isNull() ? 0 : config::need_integer(config.known, "revision"),
+            discovery::node_list(nodes, zones), told);
     if (!added.distribution.isNull()) {
         config::Distribution distribution = read_distributors(added.distribution);
         if (!discovery)
@@ -215,7 +216,7 @@
                                   if (residence)
                                       residence->ready_nodes(fleet.ready());
                               });
-        discovery->use(std::move(selector));
+        discovery->use_distributors(std::move(selector));
     }
     if (!discovery)
         core::log("configuration: no 'discovery': the nodes in 'known' are all there are, and none drains");
@@ -244,9 +245,9 @@
                 dispatcher->peer_message(message);
         });
     }
-    net::discovery::Reading saved;
+    discovery::ListResponse saved;
     if (!config.known.isNull())
-        saved = net::discovery::read(config.known, nodes, zones);
+        saved = discovery::decode_node_list(config.known, nodes, zones);
     saved.update.kind = ListUpdate::Kind::Saved;
     told(saved);
     if (legacy) {
@@ -284,7 +285,7 @@
             c.requests += figures.sum(kind);
         c.probes = figures.probes;
         c.connections = budget.opened();
-        c.list_calls = discovery ? discovery->calls() : 0;
+        c.list_calls = discovery ? discovery->metrics().calls : 0;
         c.failed = figures.sum(static_cast<std::size_t>(core::Outcome::Kind::Failed));
         c.broken = figures.broken;
         c.turned_away = figures.turned_away;
@@ -425,9 +426,10 @@
                 if (!added.distribution.isNull())
                     return core::log("distributors are asked in place of discovery, wherever it is");
                 if (!discovery)
-                    discovery.emplace(io, deadlines, config.settings, at, host, 0,
-                                      net::discovery::list_feed(nodes, zones), told);
-                discovery->move(at, host);
+                    discovery.emplace(io, deadlines, discovery::watch_options(config.settings),
+                                      discovery::SourceAddress{at, host}, 0,
+                                      discovery::node_list(nodes, zones), told);
+                discovery->move_to({at, host});
             });
             await_hangup();
         });
--- /dev/null
+++ b/src/discovery/discovery_client.cpp
@@ -0,0 +1,260 @@
+#include "discovery/discovery_client.hpp"
+
+#include "core/log.hpp"
+#include "net/address.hpp"
+
+#include <boost/asio/co_spawn.hpp>
+
+namespace marblewood::discovery {
+namespace {
+
+// A poll waits for a change between kMaxPollTime - kPollTimeSpread and kMaxPollTime, so that brokers do not
+// renew in step. The sum of kMaxPollTime, kResponseTimeout, the first pauses, a connect and a response stays
+// under 6 s. All in microseconds.
+constexpr Micros kMaxPollTime = 3'200'000;
+constexpr Micros kPollTimeSpread = 1'000'000;
+/// For a connection to come up, and for a response beyond the time that a poll may wait.
+constexpr Micros kResponseTimeout = 1'100'000;
+
+// Pauses before the next call after a failed one, at first and at most. A shared service must not be met by
+// all brokers together when it returns.
+constexpr Micros kInitialBackoff = 200'000;
+constexpr Micros kMaxBackoff = 2'000'000;
+constexpr Micros kLocalAgentInitialBackoff = 10'000;
+constexpr Micros kLocalAgentMaxBackoff = 100'000;
+/// The least pause where a shared service is overloaded, and what is drawn beyond it.
+constexpr Micros kOverloadBackoff = 1'000'000;
+constexpr Micros kOverloadBackoffSpread = 1'600'000;
+
+/// Until the complete list of an overloaded discovery is requested again, which all brokers need at once
+/// after a move, and which is many times the work of a call for changes. Drawn from half of it to one and a
+/// half.
+constexpr Micros kCompleteListRetry = 10'000'000;
+
+constexpr Micros kNever = INT64_MAX;
+constexpr Micros kMicrosPerMilli = 1000;
+constexpr int kStatusOk = 200;
+constexpr int kStatusServiceUnavailable = 503;
+
+Micros max_backoff(const WatchOptions &options) {
+    if (options.max_list_age <= 0)
+        return kMaxBackoff;
+    return std::clamp(options.max_list_age, kInitialBackoff, kMaxBackoff);
+}
+
+} // namespace
+
+WatchedResource node_list(config::Names &nodes, config::Names &zones) {
+    return {"/v1/servers", [&nodes, &zones](Json::Value response) {
+                return decode_node_list(std::move(response), nodes, zones);
+            }};
+}
+
+WatchOptions watch_options(const Settings &settings) {
+    WatchOptions options;
+    options.source = settings.poll_endpoint_list ? SourceKind::SharedService : SourceKind::LocalAgent;
+    options.max_list_age = settings.list_poll_interval;
+    options.seed = settings.seed;
+    return options;
+}
+
+DiscoveryClient::DiscoveryClient(asio::io_context &io, core::Deadlines &deadlines,
+                                 const WatchOptions &options, SourceAddress address, std::int64_t revision,
+                                 WatchedResource resource, UpdateHandler on_update)
+    : io_(io), deadlines_(deadlines), options_(options), resource_(std::move(resource)),
+      on_update_(std::move(on_update)), revision_(revision),
+      current_(start_watch(std::move(address), false)) {}
+
+void DiscoveryClient::move_to(SourceAddress address) {
+    if (next_)
+        stop(*next_);
+    next_ = start_watch(std::move(address), true);
+}
+
+std::shared_ptr<DiscoveryClient::Watch> DiscoveryClient::start_watch(SourceAddress address,
+                                                                     bool other_revisions) {
+    auto watch = std::make_shared<Watch>(io_, std::move(address), next_backoff());
+    watch->other_revisions = other_revisions;
+    if (other_revisions || revision_ < 0)
+        watch->complete_list_from = 0;
+    asio::co_spawn(io_, run(watch), [](const std::exception_ptr &error) {
+        if (error)
+            std::rethrow_exception(error); // a broker that no longer watches must not go on unseen
+    });
+    return watch;
+}
+
+core::Backoff DiscoveryClient::next_backoff() {
+    const std::uint64_t seed = options_.seed + watches_started_;
+    ++watches_started_;
+    if (options_.source == SourceKind::SharedService)
+        return {kInitialBackoff, max_backoff(options_), seed};
+    return {kLocalAgentInitialBackoff, kLocalAgentMaxBackoff, seed};
+}
+
+void DiscoveryClient::close(Watch &watch) {
+    boost::system::error_code ignored;
+    watch.socket.close(ignored);
+}
+
+void DiscoveryClient::stop(Watch &watch) {
+    watch.state = WatchState::Stopped;
+    close(watch);
+    watch.wake_up.put(true);
+}
+
+void DiscoveryClient::select_distributor(Watch &watch) {
+    selector_->reconsider(deadlines_.clock.now());
+    const std::string &host = selector_->current().address;
+    if (host == watch.address.host)
+        return;
+    close(watch);
+    watch.address.host = host;
+    // The configuration's check has read it before.
+    watch.address.endpoint = net::endpoint<tcp::endpoint>(host).value_or(watch.address.endpoint);
+    watch.state = WatchState::Unverified;
+}
+
+// A watch is renewed at once after each response, on the same connection: after a gap of over 200 ms
+// discovery takes it for a new one.
+asio::awaitable<void> DiscoveryClient::run(std::shared_ptr<Watch> watch) {
+    while (!watch->stopped()) {
+        if (selector_)
+            select_distributor(*watch);
+        const bool complete = deadlines_.clock.now() >= watch->complete_list_from;
+        const CallResult result = co_await poll(*watch, complete);
+        if (watch->stopped())
+            break;
+        if (result.status == CallStatus::Answered && accepts(*watch, result.response, complete))
+            apply(watch, result.response, complete);
+        else
+            co_await recover(*watch, result.status, complete);
+    }
+}
+
+asio::awaitable<DiscoveryClient::CallResult> DiscoveryClient::poll(Watch &watch, bool complete) {
+    const bool answered_at_once = complete || watch.state == WatchState::Unverified;
+    const Micros timeout = answered_at_once ? 0 : kMaxPollTime - watch.backoff.part(kPollTimeSpread);
+    const std::string target = request_target(complete ? std::nullopt : std::optional(revision_), timeout);
+    co_return co_await call(watch, target, timeout);
+}
+
+// A stale response was overtaken on its way, or discovery counts anew: in the latter case its complete list,
+// requested on a new connection, has the lower revision again.
+bool DiscoveryClient::accepts(Watch &watch, const ListResponse &response, bool complete) {
+    if (complete && response.update.kind != ListUpdate::Kind::Full) {
+        ++metrics_.incomplete;
+        core::log("discovery_response_rejected reason=incomplete_list revision={}", response.revision);
+        return false;
+    }
+    if (response.revision >= revision_ || (complete && watch.other_revisions))
+        return true;
+    ++metrics_.stale;
+    if (selector_)
+        return false; // that distributor is behind: another one is asked
+    const bool confirmed = complete && watch.stale_revision && response.revision >= *watch.stale_revision;
+    core::log("discovery_revision_decreased revision={} known_revision={}", response.revision, revision_);
+    watch.stale_revision = response.revision;
+    watch.complete_list_from = 0;
+    return confirmed;
+}
+
+void DiscoveryClient::apply(const std::shared_ptr<Watch> &watch, const ListResponse &response,
+                            bool complete) {
+    revision_ = response.revision;
+    if (complete) {
+        watch->other_revisions = false;
+        watch->complete_list_from = kNever;
+    }
+    watch->stale_revision.reset();
+    watch->backoff.reset();
+    watch->state = WatchState::Watching;
+    if (selector_)
+        selector_->answered();
+    if (watch == next_) {
+        stop(*current_);
+        current_ = std::exchange(next_, nullptr);
+    }
+    on_update_(response);
+}
+
+asio::awaitable<void> DiscoveryClient::recover(Watch &watch, CallStatus status, bool complete) {
+    if (complete && watch.other_revisions && status == CallStatus::Overloaded)
+        watch.complete_list_from =
+            deadlines_.clock.now() + kCompleteListRetry / 2 + watch.backoff.part(kCompleteListRetry);
+    close(watch);
+    if (selector_)
+        selector_->failed(deadlines_.clock.now());
+    co_await pause(watch, status);
+}
+
+asio::awaitable<void> DiscoveryClient::pause(Watch &watch, CallStatus status) {
+    Micros length = watch.backoff.next();
+    const bool shared = options_.source == SourceKind::SharedService;
+    if (status == CallStatus::Overloaded && shared && !selector_)
+        length = std::max(length, kOverloadBackoff + watch.backoff.part(kOverloadBackoffSpread));
+    bool over = false;
+    const auto timer = deadlines_.in(length, [&] {
+        over = true;
+        watch.wake_up.put(true);
+    });
+    while (!over && !watch.stopped())
+        co_await watch.wake_up.take();
+}
+
+std::string DiscoveryClient::request_target(std::optional<std::int64_t> since, Micros timeout) const {
+    std::string query;
+    if (since)
+        query = fmt::format("since={}&timeout_ms={}", *since, timeout / kMicrosPerMilli);
+    if (resource_.report)
+        query += (query.empty() ? "" : "&") + resource_.report();
+    return query.empty() ? resource_.path : resource_.path + "?" + query;
+}
+
+asio::awaitable<DiscoveryClient::CallResult> DiscoveryClient::call(Watch &watch, const std::string &target,
+                                                                   Micros timeout) {
+    ++metrics_.calls;
+    const std::string request = fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
+                                            target, watch.address.host);
+    if (const auto error = co_await ensure_connected(watch)) {
+        if (!watch.stopped())
+            core::log("discovery_call_failed reason=\"{}\"", error.message());
+        co_return CallResult{};
+    }
+    metrics_.sent_bytes += request.size();
+    const Micros until = deadlines_.clock.now() + timeout + kResponseTimeout;
+    const auto response = co_await net::http::exchange(watch.socket, request, until, deadlines_);
+    if (response) {
+        metrics_.received_bytes += response->wire_bytes;
+        if (response->status == kStatusOk)
+            co_return decode(watch, *response);
+    }
+    ++metrics_.failed;
+    if (!watch.stopped())
+        core::log("discovery_call_failed reason=\"{}\"",
+                  response ? fmt::format("status {}", response->status) : "no response");
+    const bool overloaded = response && response->status == kStatusServiceUnavailable;
+    co_return CallResult{overloaded ? CallStatus::Overloaded : CallStatus::Failed, {}};
+}
+
+asio::awaitable<boost::system::error_code> DiscoveryClient::ensure_connected(Watch &watch) {
+    if (watch.socket.is_open() && !net::quiet(watch.socket))
+        close(watch); // it has ended, or more than a response has come
+    if (watch.socket.is_open())
+        co_return boost::system::error_code();
+    const Micros until = deadlines_.clock.now() + kResponseTimeout;
+    co_return co_await net::dial(watch.socket, watch.address.endpoint, until, deadlines_);
+}
+
+DiscoveryClient::CallResult DiscoveryClient::decode(const Watch &watch, const net::http::Response &response) {
+    try {
+        return {CallStatus::Answered, resource_.decode(config::parse(response.body))};
+    } catch (const std::exception &error) { // whatever a list may hold, the watch goes on
+        ++metrics_.malformed;
+        if (!watch.stopped())
+            core::log("discovery_call_failed reason=\"malformed response: {}\"", error.what());
+        return {};
+    }
+}
+
+} // namespace marblewood::discovery
--- a/src/lab/scale/hollow_broker.cpp
+++ b/src/lab/scale/hollow_broker.cpp
@@ -33,22 +33,23 @@
                                                                      figures_, settings_, ports_, around));
     if (settings_.peers)
         listen_to_peers(io, config, position);
-    net::discovery::Reading saved; // at revision 0, as a broker without a list begins
+    discovery::ListResponse saved; // at revision 0, as a broker without a list begins
     if (!config.known.isNull())
-        saved = net::discovery::read(config.known, nodes_, zones_);
+        saved = discovery::decode_node_list(config.known, nodes_, zones_);
     saved.update.kind = ListUpdate::Kind::Saved;
     revision_ = saved.revision;
     fleet_.told(saved);
     const bool distributed = !config.distributors.empty();
     const std::string at = distributed ? config.distributors.front().address : config.discovery;
     discovery_.emplace(
-        io, deadlines, settings_, net::endpoint<asio::ip::tcp::endpoint>(at).value(), at, saved.revision,
-        net::discovery::list_feed(nodes_, zones_),
-        [this, &deadlines](const net::discovery::Reading &reading) { told(reading, deadlines.clock.now()); });
+        io, deadlines, discovery::watch_options(settings_),
+        discovery::SourceAddress{net::endpoint<asio::ip::tcp::endpoint>(at).value(), at}, saved.revision,
+        discovery::node_list(nodes_, zones_),
+        [this, &deadlines](const discovery::ListResponse &reading) { told(reading, deadlines.clock.now()); });
     if (!distributed)
         return;
     const distribution::DistributorSelector selector(config.distributors, name_, locality, settings_.seed);
-    discovery_->use(selector);
+    discovery_->use_distributors(selector);
     if (!config.documents)
         return;
     documents_.emplace(
@@ -59,11 +60,11 @@
         });
 }
 
-net::discovery::Traffic HollowBroker::traffic() const {
-    net::discovery::Traffic sum = discovery_->traffic();
+discovery::DiscoveryMetrics HollowBroker::traffic() const {
+    discovery::DiscoveryMetrics sum = discovery_->metrics();
     if (!documents_)
         return sum;
-    const net::discovery::Traffic &more = documents_->traffic();
+    const discovery::DiscoveryMetrics &more = documents_->metrics();
     sum.calls += more.calls;
     sum.failed += more.failed;
     sum.sent_bytes += more.sent_bytes;
@@ -90,7 +91,7 @@
                    [this](const PeerMessage &message) { dispatchers_.front()->peer_message(message); });
 }
 
-void HollowBroker::told(const net::discovery::Reading &reading, Micros now) {
+void HollowBroker::told(const discovery::ListResponse &reading, Micros now) {
     if (reading.revision < revision_)
         ++went_back_;
     if (reading.revision > revision_)
--- a/src/lab/scale/hollow_broker.hpp
+++ b/src/lab/scale/hollow_broker.hpp
@@ -42,14 +42,14 @@
     /// The configuration's versions, in the same way.
     const std::vector<Adoption> &configured() const { return configured_; }
     /// Bytes both ways, calls and failures of all its watches.
-    net::discovery::Traffic traffic() const;
+    discovery::DiscoveryMetrics traffic() const;
     std::uint64_t datagrams() const { return peers_ ? peers_->sent() : 0; }
     std::size_t nodes() const { return fleet_.size(); }
 
 private:
     Settings own_settings(const HollowConfig &config, int position) const;
     void listen_to_peers(asio::io_context &io, const HollowConfig &config, int position);
-    void told(const net::discovery::Reading &reading, Micros now);
+    void told(const discovery::ListResponse &reading, Micros now);
 
     const std::string name_;
     config::Names nodes_, zones_;
@@ -64,7 +64,7 @@
     net::EndpointRegistry::Dispatchers dispatchers_;
     net::EndpointRegistry fleet_;
     std::optional<net::peers::Peers> peers_;
-    std::optional<net::discovery::Discovery> discovery_;
+    std::optional<discovery::DiscoveryClient> discovery_;
     std::int64_t revision_ = 0;
     std::optional<net::lists::DocumentWatch> documents_;
     std::vector<Adoption> adopted_, configured_;
--- a/src/lab/scale/hollow_process.cpp
+++ b/src/lab/scale/hollow_process.cpp
@@ -66,7 +66,7 @@
             first_sample_ = now - now % kSample;
         std::size_t number = 0;
         for (const HollowBroker &broker : brokers_) {
-            const net::discovery::Traffic traffic = broker.traffic();
+            const discovery::DiscoveryMetrics traffic = broker.traffic();
             traffic_[number++].push_back(traffic.sent_bytes + traffic.received_bytes);
         }
         next_ = deadlines_.at(now - now % kSample + kSample, [this] { sample(); });
--- a/src/net/endpoint_registry.cpp
+++ b/src/net/endpoint_registry.cpp
@@ -4,7 +4,7 @@
 
 namespace marblewood::net {
 
-void EndpointRegistry::told(const discovery::Reading &reading) {
+void EndpointRegistry::told(const discovery::ListResponse &reading) {
     for (const auto &[node, at] : reading.addresses) {
         addresses_[node] = at;
         const auto where = endpoint<tcp::endpoint>(at);
@@ -150,7 +150,7 @@
             throw Error(std::string("field '") + field + "' is not a list");
         return found;
     };
-    const auto list = discovery::read(need(state, "list"), names_, zones_);
+    const auto list = discovery::decode_node_list(need(state, "list"), names_, zones_);
     std::vector<NodeId> out;
     for (const Json::Value &id : rows(state, "cordons")) {
         if (!id.isString())
--- a/src/net/endpoint_registry.hpp
+++ b/src/net/endpoint_registry.hpp
@@ -4,7 +4,7 @@
 
 #include "core/endpoint_list.hpp"
 #include "core/request_dispatcher.hpp"
-#include "net/discovery/discovery.hpp"
+#include "discovery/list_response.hpp"
 #include "net/nvme/mapping.hpp"
 #include "net/nvme/node_port.hpp"
 #include "net/ports.hpp"
@@ -21,7 +21,7 @@
         : names_(names), zones_(zones), mapping_(mapping), resp_port_(resp_port), nvme_port_(nvme_port),
           ports_(ports), dispatchers_(dispatchers) {}
 
-    void told(const discovery::Reading &reading);
+    void told(const discovery::ListResponse &reading);
     // From now on only nodes with an id that `allows` takes are told to the dispatchers. Called again
     // whenever its answers may have changed.
     void confine(std::function<bool(const std::string &id)> allows);
--- a/src/net/lists/codec.cpp
+++ b/src/net/lists/codec.cpp
@@ -109,7 +109,7 @@
 
 } // namespace
 
-dist::Update to_update(const discovery::Reading &reading) {
+dist::Update to_update(const discovery::ListResponse &reading) {
     dist::Update update;
     update.revision = reading.revision;
     update.complete = reading.update.kind == ListUpdate::Kind::Full;
@@ -129,8 +129,8 @@
     return out + "]}";
 }
 
-discovery::Reading read_documents(Json::Value answer) {
-    discovery::Reading reading = discovery::read_envelope(answer);
+discovery::ListResponse read_documents(Json::Value answer) {
+    discovery::ListResponse reading = discovery::decode_envelope(answer);
     for (const Json::Value &row : answer["members"]) {
         config::need_text(row, "id");
         config::need_text(row, "phase");
--- a/src/net/lists/codec.hpp
+++ b/src/net/lists/codec.hpp
@@ -2,18 +2,18 @@
 // that come with them.
 #pragma once
 
+#include "discovery/discovery_client.hpp"
 #include "distribution/delivery.hpp"
 #include "distribution/report_book.hpp"
-#include "net/discovery/discovery.hpp"
 
 #include <string>
 
 namespace marblewood::net::lists {
 
-/// An answer that discovery::read() has taken.
-distribution::Update to_update(const discovery::Reading &reading);
+/// An answer that discovery::decode_node_list() has taken.
+distribution::Update to_update(const discovery::ListResponse &reading);
 /// Reads an answer about documents: entries with `id` and `document`. Throws config::Error.
-discovery::Reading read_documents(Json::Value answer);
+discovery::ListResponse read_documents(Json::Value answer);
 /// A document as an entry of an answer.
 distribution::Member document_member(const std::string &id, const Json::Value &document);
 /// The body of an answer in discovery's form.
--- a/src/net/lists/document_watch.cpp
+++ b/src/net/lists/document_watch.cpp
@@ -8,7 +8,7 @@
 
 // What an answer makes of the operations in force; nothing where it does not speak of them. Throws
 // config::Error.
-std::optional<config::Operations> operations_in(const discovery::Reading &reading) {
+std::optional<config::Operations> operations_in(const discovery::ListResponse &reading) {
     std::optional<config::Operations> operations;
     if (reading.update.kind == ListUpdate::Kind::Full)
         operations.emplace();
@@ -23,11 +23,8 @@
 
 } // namespace
 
-Settings shared_service(std::uint64_t seed) {
-    Settings settings;
-    settings.poll_endpoint_list = true;
-    settings.seed = seed;
-    return settings;
+discovery::WatchOptions shared_service(std::uint64_t seed) {
+    return {discovery::SourceKind::SharedService, 0, seed};
 }
 
 DocumentWatch::DocumentWatch(asio::io_context &io, core::Deadlines &deadlines,
@@ -35,17 +32,18 @@
                              std::uint64_t seed, Apply apply)
     : broker_(std::move(broker)), apply_(std::move(apply)) {
     const std::string first = selector.current().address;
-    watch_.emplace(io, deadlines, shared_service(seed), endpoint<tcp::endpoint>(first).value(), first, 0,
-                   discovery::Feed{kDocumentsPath, read_documents, [this] { return report(); }},
-                   [this](const discovery::Reading &reading) { told(reading); });
-    watch_->use(std::move(selector));
+    watch_.emplace(io, deadlines, shared_service(seed),
+                   discovery::SourceAddress{endpoint<tcp::endpoint>(first).value(), first}, 0,
+                   discovery::WatchedResource{kDocumentsPath, read_documents, [this] { return report(); }},
+                   [this](const discovery::ListResponse &reading) { told(reading); });
+    watch_->use_distributors(std::move(selector));
 }
 
 std::string DocumentWatch::report() const {
     return spell(Report{broker_, in_force_, std::nullopt});
 }
 
-void DocumentWatch::told(const discovery::Reading &reading) {
+void DocumentWatch::told(const discovery::ListResponse &reading) {
     if (reading.revision == std::exchange(heard_, reading.revision))
         return;
     try {
--- a/src/net/lists/document_watch.hpp
+++ b/src/net/lists/document_watch.hpp
@@ -19,10 +19,10 @@
     /// The version whose documents are in force; 0 where there is none yet.
     distribution::Revision in_force() const { return in_force_; }
     std::uint64_t refused() const { return refused_; }
-    const discovery::Traffic &traffic() const { return watch_->traffic(); }
+    const discovery::DiscoveryMetrics &metrics() const { return watch_->metrics(); }
 
 private:
-    void told(const discovery::Reading &reading);
+    void told(const discovery::ListResponse &reading);
     std::string report() const;
 
     const std::string broker_;
@@ -31,10 +31,10 @@
     distribution::Revision heard_ = 0; // of the last answer, taken or not
     bool wrong_ = false;               // the last operations were refused
     std::uint64_t refused_ = 0;
-    std::optional<discovery::Discovery> watch_;
+    std::optional<discovery::DiscoveryClient> watch_;
 };
 
 /// How distributors are asked: as a service that many share, not an agent on this machine.
-Settings shared_service(std::uint64_t seed);
+discovery::WatchOptions shared_service(std::uint64_t seed);
 
 } // namespace marblewood::net::lists
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -29,13 +29,14 @@
 distribution::Update read_nodes(const std::string &name) {
     config::Names nodes;
     config::Names zones;
-    return lists::to_update(net::discovery::read(config::parse(read_file(name)), nodes, zones));
+    return lists::to_update(discovery::decode_node_list(config::parse(read_file(name)), nodes, zones));
 }
 
 TEST(ListFormat, SavedNodesAreReadFieldByField) {
     config::Names nodes;
     config::Names zones;
-    const auto list = net::discovery::read(config::parse(read_file("nodes_complete.json")), nodes, zones);
+    const auto list =
+        discovery::decode_node_list(config::parse(read_file("nodes_complete.json")), nodes, zones);
     EXPECT_EQ(list.revision, 41);
     EXPECT_EQ(list.update.kind, ListUpdate::Kind::Full);
     ASSERT_EQ(list.update.entries.size(), 2u);
@@ -47,7 +48,7 @@
     EXPECT_EQ(first.started, 1'791'000'000'123'000);
     EXPECT_EQ(first.stable_id, 4'983'315'632'652'834'798u);
     EXPECT_FALSE(first.restored);
-    EXPECT_EQ(list.addresses[0].second, "10.1.0.18:6379");
+    EXPECT_EQ(list.addresses[0].host_port, "10.1.0.18:6379");
     EXPECT_EQ(list.update.entries[1].state, NodeState::Draining);
 }
 
--- a/tests/pushed_test.cpp
+++ b/tests/pushed_test.cpp
@@ -107,7 +107,7 @@
     program.configure(port, known, pushed());
     program.signal(SIGHUP);
     program.await_log("configuration read again");
-    program.await_log("discovery: Connection refused");
+    program.await_log("discovery_call_failed reason=\"Connection refused\"");
     assert(ask(program, 0) == "v");
     RespNode fresh(says("fresh"));
     Discovery back(member("s-2", fresh.server.port, 3), port);
