--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,13 +1,13 @@
 #include "app/app.hpp"
 
 #include "core/request_dispatcher.hpp"
+#include "hot_restart/hot_restart.hpp"
 #include "net/address.hpp"
 #include "net/cells/residence.hpp"
 #include "net/clients.hpp"
 #include "net/control/control.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/handover/handover.hpp"
 #include "net/lists/document_watch.hpp"
 #include "net/nvme/front.hpp"
 #include "net/otlp/exporter.hpp"
@@ -121,17 +121,17 @@
         control_listener = net::listen_at(io, address<tcp::endpoint>(config.control, "control"));
     const char *const folder = std::getenv("TMPDIR");
     const std::string meeting = folder && *folder ? std::string(folder) + "/marblewood.handover" : "";
-    std::optional<net::handover::Inheritance> legacy;
+    std::optional<hot_restart::Takeover> legacy;
     if (!meeting.empty())
-        legacy = net::handover::inherit(meeting);
+        legacy = hot_restart::request_takeover(meeting);
     // The wall clock may have been set since the predecessor read it. Its times mean the same here and there.
-    if (legacy && legacy->state["now_us"].isInt64() && legacy->state["now_us"].asInt64() > 0)
-        clock.continue_from(legacy->state["now_us"].asInt64());
+    if (legacy && legacy->parent.state["now_us"].isInt64() && legacy->parent.state["now_us"].asInt64() > 0)
+        clock.continue_from(legacy->parent.state["now_us"].asInt64());
     const auto inherited = [&](const char *name) {
         if (!legacy || legacy->channel.get() < 0)
             return net::Descriptor();
-        const auto found = legacy->sockets.find(name);
-        return found == legacy->sockets.end() ? net::Descriptor() : std::move(found->second);
+        const auto found = legacy->parent.sockets.find(name);
+        return found == legacy->parent.sockets.end() ? net::Descriptor() : std::move(found->second);
     };
 
     std::optional<discovery::DiscoveryClient> discovery;
@@ -252,9 +252,9 @@
     told(saved);
     if (legacy) {
         try {
-            fleet.inherit(config::need(legacy->state, "fleet"));
-            away = config::flag_or(legacy->state, "quiesced", false);
-            away_since = clock.now() - config::integer_or(legacy->state, "quiesced_us", 0);
+            fleet.inherit(config::need(legacy->parent.state, "fleet"));
+            away = config::flag_or(legacy->parent.state, "quiesced", false);
+            away_since = clock.now() - config::integer_or(legacy->parent.state, "quiesced_us", 0);
         } catch (const config::Error &error) { // nothing of it is taken; the predecessor serves on
             core::log("handover: {}", error.what());
             legacy->channel = net::Descriptor();
@@ -318,13 +318,13 @@
             text += residence->stats();
         return text;
     };
-    std::optional<net::handover::Handover> handover;
+    std::optional<hot_restart::HotRestart> handover;
     const auto cordon = [&](const std::string &id, bool out) {
         const bool known = out ? fleet.cordon(id) : fleet.uncordon(id);
         if (residence)
             residence->ready_nodes(fleet.ready());
         if (known && handover)
-            handover->tell_predecessor(id, out);
+            handover->forward_cordon(id, out);
         return known;
     };
     operations.cordon = [&](const std::string &id) { return cordon(id, true); };
@@ -351,10 +351,10 @@
         away = on;
         send_away();
         if (handover)
-            handover->tell_predecessor_quiesce(on);
+            handover->forward_quiesce(on);
     };
     operations.quiesce = quiesce;
-    operations.acts = [&] { return !handover || !handover->yielded(); };
+    operations.acts = [&] { return !handover || !handover->handed_over(); };
     std::optional<net::control::Control> control;
     if (control_listener)
         control.emplace(io, deadlines, std::move(*control_listener), std::move(operations));
@@ -372,9 +372,9 @@
         if (peers)
             peers->listen(on);
     };
-    net::handover::Handover::Program program;
-    program.yield = [&] {
-        net::handover::Inheritance all;
+    hot_restart::ProcessHooks program;
+    program.release_state = [&] {
+        hot_restart::ParentState all;
         accept(false);
         all.state["now_us"] = static_cast<Json::Int64>(clock.now());
         all.state["quiesced"] = away;
@@ -393,24 +393,24 @@
         share(true, 0);
         return all;
     };
-    program.pass = [&] {
-        clients.hand_over([&](net::Passed passed) { handover->client(std::move(passed)); });
+    program.hand_over_clients = [&] {
+        clients.hand_over([&](net::Passed passed) { handover->send_client(std::move(passed)); });
     };
-    program.recover = [&] {
+    program.resume = [&] {
         clients.hand_over(nullptr);
         fleet.retire(false);
         share(false, 0);
         accept(true);
     };
-    program.adopt = [&](net::Passed passed) { clients.adopt(std::move(passed)); };
-    program.alone = [&] { share(false, 0); };
-    program.cordon = [&](const std::string &id, bool out) { cordon(id, out); };
-    program.quiesce = quiesce;
+    program.adopt_client = [&](net::Passed passed) { clients.adopt(std::move(passed)); };
+    program.parent_exited = [&] { share(false, 0); };
+    program.set_cordoned = [&](const std::string &id, bool out) { cordon(id, out); };
+    program.set_quiesced = quiesce;
     if (!meeting.empty())
         handover.emplace(io, deadlines, meeting, std::move(program));
     if (legacy && legacy->channel.get() >= 0) {
-        share(true, static_cast<int>(config::integer_or(legacy->state, "clients", 0)));
-        handover->follow(std::move(legacy->channel));
+        share(true, static_cast<int>(config::integer_or(legacy->parent.state, "clients", 0)));
+        handover->follow_parent(std::move(legacy->channel));
         core::log("took over from a predecessor");
     }
     if (residence)
@@ -438,7 +438,7 @@
     hangup.release();
     core::Deadlines::Entry last_look;
     const std::function<void()> stop = [&] { // once all that goes over has gone
-        if (!handover || handover->sent())
+        if (!handover || handover->all_sent())
             return io.stop();
         last_look = deadlines.in(kLook, stop);
     };
--- /dev/null
+++ b/src/hot_restart/hot_restart.cpp
@@ -0,0 +1,167 @@
+#include "hot_restart/hot_restart.hpp"
+
+#include "core/log.hpp"
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <sys/socket.h>
+#include <sys/time.h>
+
+namespace marblewood::hot_restart {
+namespace {
+
+/// us for a caller to say what it wants.
+constexpr Micros kRequestTimeout = 500'000;
+/// For each part of the state. A parent that is short of processor time answers late, and a successor that
+/// gave it up would have to exit, as the addresses are still held; the parent serves meanwhile.
+constexpr timeval kStateTimeout{5, 0};
+
+void set_timeouts(int socket) {
+    ::setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &kStateTimeout, sizeof kStateTimeout);
+    ::setsockopt(socket, SOL_SOCKET, SO_SNDTIMEO, &kStateTimeout, sizeof kStateTimeout);
+}
+
+/// Throws MessageError or config::Error.
+ParentState receive_state(int socket) {
+    StateDecoder decoder;
+    while (auto packet = receive_packet(socket))
+        if (auto state = decoder.add(std::move(*packet)))
+            return std::move(*state);
+    throw MessageError("no complete state");
+}
+
+} // namespace
+
+std::optional<Takeover> request_takeover(const std::string &path) {
+    net::Descriptor channel = connect_to(path);
+    if (channel.get() < 0)
+        return std::nullopt;
+    set_timeouts(channel.get());
+    if (!is_same_user(channel.get()) || !send_packet(channel.get(), encode(MessageType::Request)))
+        return std::nullopt;
+    try {
+        return Takeover{receive_state(channel.get()), std::move(channel)};
+    } catch (const std::exception &error) {
+        core::log("hot_restart_state_rejected reason=\"{}\"", error.what());
+        return std::nullopt;
+    }
+}
+
+HotRestart::HotRestart(asio::io_context &io, core::Deadlines &deadlines, std::string path, ProcessHooks hooks)
+    : io_(io), deadlines_(deadlines), path_(std::move(path)), hooks_(std::move(hooks)) {
+    listen();
+}
+
+void HotRestart::listen() {
+    net::Descriptor listener = listen_at(path_);
+    if (listener.get() < 0) {
+        state_ = State::Unavailable;
+        core::log("hot_restart_listen_failed path={}", path_);
+        return;
+    }
+    state_ = State::Listening;
+    listener_.emplace(io_, listener.release());
+    listener_->non_blocking(true);
+    asio::co_spawn(io_, await_successor(), asio::detached);
+}
+
+asio::awaitable<void> HotRestart::await_successor() {
+    while (state_ == State::Listening) {
+        boost::system::error_code error;
+        co_await listener_->async_wait(asio::posix::descriptor_base::wait_read,
+                                       asio::redirect_error(asio::use_awaitable, error));
+        if (error)
+            break;
+        net::Descriptor caller(::accept4(listener_->native_handle(), nullptr, nullptr, SOCK_CLOEXEC));
+        if (caller.get() < 0 || !is_same_user(caller.get()))
+            continue;
+        const bool served =
+            co_await serve(std::make_shared<PacketChannel>(io_.get_executor(), std::move(caller)));
+        if (served)
+            co_return; // listen() has started another wait
+    }
+}
+
+asio::awaitable<bool> HotRestart::serve(std::shared_ptr<PacketChannel> successor) {
+    const bool requested = co_await receive_request(*successor);
+    if (!requested)
+        co_return false;
+    hand_over(successor);
+    while (const auto order = co_await successor->receive())
+        execute(*order);
+    take_back(*successor);
+    co_return true;
+}
+
+asio::awaitable<bool> HotRestart::receive_request(PacketChannel &successor) {
+    const auto timeout = deadlines_.in(kRequestTimeout, [&] { successor.close(); });
+    const auto request = co_await successor.receive();
+    co_return request && request->bytes == encode(MessageType::Request).bytes;
+}
+
+void HotRestart::hand_over(const std::shared_ptr<PacketChannel> &successor) {
+    state_ = State::HandedOver;
+    successor_ = successor;
+    listener_.reset(); // the successor listens there from now on
+    for (Packet &packet : encode_state(hooks_.release_state()))
+        successor->send(std::move(packet));
+    core::log("hot_restart_handed_over");
+    hooks_.hand_over_clients();
+}
+
+void HotRestart::take_back(PacketChannel &successor) {
+    successor_ = nullptr;
+    core::log("hot_restart_successor_lost action=resume");
+    listen();
+    hooks_.resume();
+    for (Packet &packet : successor.unsent())
+        if (auto client = decode_client(packet))
+            hooks_.adopt_client(std::move(*client));
+}
+
+void HotRestart::execute(const Packet &order) {
+    const std::string id = order.bytes.substr(1);
+    switch (type_of(order)) {
+    case MessageType::Cordon:
+        return hooks_.set_cordoned(id, true);
+    case MessageType::Uncordon:
+        return hooks_.set_cordoned(id, false);
+    case MessageType::Quiesce:
+        return hooks_.set_quiesced(true);
+    case MessageType::Resume:
+        return hooks_.set_quiesced(false);
+    default:
+        return; // unknown orders change nothing
+    }
+}
+
+void HotRestart::forward_cordon(const std::string &id, bool cordoned) {
+    if (parent_)
+        parent_->send(encode(cordoned ? MessageType::Cordon : MessageType::Uncordon, id));
+}
+
+void HotRestart::forward_quiesce(bool quiesced) {
+    if (parent_)
+        parent_->send(encode(quiesced ? MessageType::Quiesce : MessageType::Resume));
+}
+
+void HotRestart::send_client(net::Passed client) {
+    if (successor_)
+        successor_->send(encode_client(std::move(client)));
+}
+
+void HotRestart::follow_parent(net::Descriptor channel) {
+    parent_ = std::make_shared<PacketChannel>(io_.get_executor(), std::move(channel));
+    asio::co_spawn(io_, receive_clients(parent_), asio::detached);
+}
+
+asio::awaitable<void> HotRestart::receive_clients(std::shared_ptr<PacketChannel> parent) {
+    while (auto packet = co_await parent->receive())
+        if (auto client = decode_client(*packet))
+            hooks_.adopt_client(std::move(*client));
+    core::log("hot_restart_parent_exited");
+    parent_ = nullptr;
+    hooks_.parent_exited();
+}
+
+} // namespace marblewood::hot_restart
--- a/tests/confined_test.cpp
+++ b/tests/confined_test.cpp
@@ -31,7 +31,7 @@
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
     Program program(discovery);
-    program.await_log("handover: can't listen");
+    program.await_log("hot_restart_listen_failed path=");
     Socket client = program.client();
     for (int n = 0; n < 20; ++n) {
         client.send(get(kPiece));
