--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,13 +1,13 @@
 #include "app/app.hpp"
 
 #include "core/request_dispatcher.hpp"
+#include "hot_restart/hot_restart.hpp"
 #include "net/address.hpp"
 #include "net/cells/cell_router.hpp"
 #include "net/clients.hpp"
 #include "net/control/control.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/handover/handover.hpp"
 #include "net/lists/document_watch.hpp"
 #include "net/nvme/front.hpp"
 #include "net/otlp/exporter.hpp"
@@ -53,7 +53,7 @@
         address<tcp::endpoint>(fresh.listen, "listen");
         if (!fresh.known.isNull()) { // must be readable, but is older than what discovery has told
             config::Names nodes, zones;
-            net::discovery::read(fresh.known, nodes, zones);
+            discovery::decode_node_list(fresh.known, nodes, zones);
         }
         for (const std::string &name : fresh.file.getMemberNames())
             if (name != "discovery" && name != "known" && name != "seed" &&
@@ -121,20 +121,20 @@
         control_listener = net::listen_at(io, address<tcp::endpoint>(config.control, "control"));
     const char *const folder = std::getenv("TMPDIR");
     const std::string meeting = folder && *folder ? std::string(folder) + "/marblewood.handover" : "";
-    std::optional<net::handover::Inheritance> legacy;
+    std::optional<hot_restart::Takeover> legacy;
     if (!meeting.empty())
-        legacy = net::handover::inherit(meeting);
+        legacy = hot_restart::request_takeover(meeting);
     // The wall clock may have been set since the predecessor read it. Its times mean the same here and there.
-    if (legacy && legacy->state["now_us"].isInt64() && legacy->state["now_us"].asInt64() > 0)
-        clock.continue_from(legacy->state["now_us"].asInt64());
+    if (legacy && legacy->parent.state["now_us"].isInt64() && legacy->parent.state["now_us"].asInt64() > 0)
+        clock.continue_from(legacy->parent.state["now_us"].asInt64());
     const auto inherited = [&](const char *name) {
         if (!legacy || legacy->channel.get() < 0)
             return net::Descriptor();
-        const auto found = legacy->sockets.find(name);
-        return found == legacy->sockets.end() ? net::Descriptor() : std::move(found->second);
+        const auto found = legacy->parent.sockets.find(name);
+        return found == legacy->parent.sockets.end() ? net::Descriptor() : std::move(found->second);
     };
 
-    std::optional<net::discovery::Discovery> discovery;
+    std::optional<discovery::DiscoveryClient> discovery;
     std::optional<net::lists::DocumentWatch> documents;
     std::optional<net::peers::Peers> peers;
     core::DispatcherCallbacks around;
@@ -193,16 +193,17 @@
                                           figures};
 
     net::EndpointRegistry fleet(nodes, zones, mapping, resp_port, nvme_port, ports, dispatchers);
-    const auto told = [&](const net::discovery::Reading &reading) {
+    const auto told = [&](const discovery::ListResponse &reading) {
         fleet.told(reading);
         if (cell_router)
             cell_router->set_ready_nodes(fleet.ready());
     };
     if (!config.discovery.empty())
-        discovery.emplace(io, deadlines, config.settings,
-                          address<tcp::endpoint>(config.discovery, "discovery"), config.discovery,
-                          config.known.isNull() ? 0 : config::need_integer(config.known, "revision"),
-                          net::discovery::list_feed(nodes, zones), told);
+        discovery.emplace(
+            io, deadlines, discovery::watch_options(config.settings),
+            discovery::SourceAddress{address<tcp::endpoint>(config.discovery, "discovery"), config.discovery},
+            config.known.isNull() ? 0 : config::need_integer(config.known, "revision"),
+            discovery::node_list(nodes, zones), told);
     if (!added.distribution.isNull()) {
         config::Distribution distribution = read_distributors(added.distribution);
         if (!discovery)
@@ -216,7 +217,7 @@
                                   if (cell_router)
                                       cell_router->set_ready_nodes(fleet.ready());
                               });
-        discovery->use(std::move(selector));
+        discovery->use_distributors(std::move(selector));
     }
     if (!discovery)
         core::log("configuration: no 'discovery': the nodes in 'known' are all there are, and none drains");
@@ -245,16 +246,16 @@
                 dispatcher->peer_message(message);
         });
     }
-    net::discovery::Reading saved;
+    discovery::ListResponse saved;
     if (!config.known.isNull())
-        saved = net::discovery::read(config.known, nodes, zones);
+        saved = discovery::decode_node_list(config.known, nodes, zones);
     saved.update.kind = ListUpdate::Kind::Saved;
     told(saved);
     if (legacy) {
         try {
-            fleet.inherit(config::need(legacy->state, "fleet"));
-            away = config::flag_or(legacy->state, "quiesced", false);
-            away_since = clock.now() - config::integer_or(legacy->state, "quiesced_us", 0);
+            fleet.inherit(config::need(legacy->parent.state, "fleet"));
+            away = config::flag_or(legacy->parent.state, "quiesced", false);
+            away_since = clock.now() - config::integer_or(legacy->parent.state, "quiesced_us", 0);
         } catch (const config::Error &error) { // nothing of it is taken; the predecessor serves on
             core::log("handover: {}", error.what());
             legacy->channel = net::Descriptor();
@@ -285,7 +286,7 @@
             c.requests += figures.sum(kind);
         c.probes = figures.probes;
         c.connections = budget.opened();
-        c.list_calls = discovery ? discovery->calls() : 0;
+        c.list_calls = discovery ? discovery->metrics().calls : 0;
         c.failed = figures.sum(static_cast<std::size_t>(core::Outcome::Kind::Failed));
         c.broken = figures.broken;
         c.turned_away = figures.turned_away;
@@ -318,13 +319,13 @@
             text += cell_router->stats();
         return text;
     };
-    std::optional<net::handover::Handover> handover;
+    std::optional<hot_restart::HotRestart> handover;
     const auto cordon = [&](const std::string &id, bool out) {
         const bool known = out ? fleet.cordon(id) : fleet.uncordon(id);
         if (cell_router)
             cell_router->set_ready_nodes(fleet.ready());
         if (known && handover)
-            handover->tell_predecessor(id, out);
+            handover->forward_cordon(id, out);
         return known;
     };
     operations.cordon = [&](const std::string &id) { return cordon(id, true); };
@@ -351,10 +352,10 @@
         away = on;
         send_away();
         if (handover)
-            handover->tell_predecessor_quiesce(on);
+            handover->forward_quiesce(on);
     };
     operations.quiesce = quiesce;
-    operations.acts = [&] { return !handover || !handover->yielded(); };
+    operations.acts = [&] { return !handover || !handover->handed_over(); };
     std::optional<net::control::Control> control;
     if (control_listener)
         control.emplace(io, deadlines, std::move(*control_listener), std::move(operations));
@@ -372,9 +373,9 @@
         if (peers)
             peers->listen(on);
     };
-    net::handover::Handover::Program program;
-    program.yield = [&] {
-        net::handover::Inheritance all;
+    hot_restart::ProcessHooks program;
+    program.release_state = [&] {
+        hot_restart::ParentState all;
         accept(false);
         all.state["now_us"] = static_cast<Json::Int64>(clock.now());
         all.state["quiesced"] = away;
@@ -393,24 +394,24 @@
         share(true, 0);
         return all;
     };
-    program.pass = [&] {
-        clients.hand_over([&](net::Passed passed) { handover->client(std::move(passed)); });
+    program.hand_over_clients = [&] {
+        clients.hand_over([&](net::Passed passed) { handover->send_client(std::move(passed)); });
     };
-    program.recover = [&] {
+    program.resume = [&] {
         clients.hand_over(nullptr);
         fleet.retire(false);
         share(false, 0);
         accept(true);
     };
-    program.adopt = [&](net::Passed passed) { clients.adopt(std::move(passed)); };
-    program.alone = [&] { share(false, 0); };
-    program.cordon = [&](const std::string &id, bool out) { cordon(id, out); };
-    program.quiesce = quiesce;
+    program.adopt_client = [&](net::Passed passed) { clients.adopt(std::move(passed)); };
+    program.parent_exited = [&] { share(false, 0); };
+    program.set_cordoned = [&](const std::string &id, bool out) { cordon(id, out); };
+    program.set_quiesced = quiesce;
     if (!meeting.empty())
         handover.emplace(io, deadlines, meeting, std::move(program));
     if (legacy && legacy->channel.get() >= 0) {
-        share(true, static_cast<int>(config::integer_or(legacy->state, "clients", 0)));
-        handover->follow(std::move(legacy->channel));
+        share(true, static_cast<int>(config::integer_or(legacy->parent.state, "clients", 0)));
+        handover->follow_parent(std::move(legacy->channel));
         core::log("took over from a predecessor");
     }
     if (cell_router)
@@ -426,9 +427,10 @@
                 if (!added.distribution.isNull())
                     return core::log("distributors are asked in place of discovery, wherever it is");
                 if (!discovery)
-                    discovery.emplace(io, deadlines, config.settings, at, host, 0,
-                                      net::discovery::list_feed(nodes, zones), told);
-                discovery->move(at, host);
+                    discovery.emplace(io, deadlines, discovery::watch_options(config.settings),
+                                      discovery::SourceAddress{at, host}, 0,
+                                      discovery::node_list(nodes, zones), told);
+                discovery->move_to({at, host});
             });
             await_hangup();
         });
@@ -437,7 +439,7 @@
     hangup.release();
     core::Deadlines::Entry last_look;
     const std::function<void()> stop = [&] { // once all that goes over has gone
-        if (!handover || handover->sent())
+        if (!handover || handover->all_sent())
             return io.stop();
         last_look = deadlines.in(kLook, stop);
     };
--- a/tests/cells_compatibility_test.cpp
+++ b/tests/cells_compatibility_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-const std::string kFolder = MARBLEWOOD_FIXTURES_FOLDER "/cells/";
+const std::string kFolder = MARBLEWOOD_FIXTURES "/cells/";
 
 std::string fixture(const std::string &name) {
     std::ifstream file(kFolder + name, std::ios::binary);
