--- /dev/null
+++ b/src/admin/admin_server.cpp
@@ -0,0 +1,216 @@
+#include "admin/admin_server.hpp"
+
+#include "core/log.hpp"
+
+#include <array>
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/write.hpp>
+
+namespace marblewood::admin {
+namespace {
+
+constexpr std::size_t kMaxCallers = 12; ///< descriptors kept for them
+constexpr std::size_t kMaxCallBytes = 8192;
+/// us for a call to come and to be executed.
+constexpr Micros kCallTimeout = 2'000'000;
+/// us for a caller to read its reply: closed at once, what it still sends would cost it the reply.
+constexpr Micros kLingerTime = 200'000;
+/// Before the next accept after a failed one.
+constexpr auto kAcceptRetryPause = std::chrono::microseconds(10'000);
+
+constexpr std::string_view kPrefix = "/admin/";
+constexpr std::string_view kCellsPath = "/admin/cells";
+constexpr std::string_view kWherePrefix = "where/";
+
+std::string respond(int status, const char *reason, const std::string &body, const char *header = "") {
+    return fmt::format("HTTP/1.1 {} {}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n{}"
+                       "Connection: close\r\n\r\n{}",
+                       status, reason, body.size(), header, body);
+}
+std::string respond_error(int status, const char *reason) {
+    return respond(status, reason, fmt::format("{}\n", reason));
+}
+std::string respond_ok() {
+    return respond(200, "OK", "ok\n");
+}
+std::string respond_not_found() {
+    return respond_error(404, "Not Found");
+}
+
+std::string trim(std::string text) {
+    const char *const blank = " \t\r\n";
+    text.erase(text.find_last_not_of(blank) + 1);
+    text.erase(0, text.find_first_not_of(blank));
+    return text;
+}
+
+enum class CallKind { Unknown, Read, Change };
+
+template <std::size_t N> bool contains(const std::array<std::string_view, N> &names, std::string_view name) {
+    return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+CallKind kind_of_call(std::string_view call) {
+    static constexpr std::array<std::string_view, 2> kReads{"health", "stats"};
+    static constexpr std::array<std::string_view, 4> kChanges{"cordon", "uncordon", "quiesce", "resume"};
+    if (contains(kReads, call))
+        return CallKind::Read;
+    return contains(kChanges, call) ? CallKind::Change : CallKind::Unknown;
+}
+
+CallKind kind_of_cells_call(std::string_view call) {
+    static constexpr std::array<std::string_view, 2> kReads{"list", "here"};
+    static constexpr std::array<std::string_view, 7> kChanges{"move",     "pin",      "unpin",  "freeze",
+                                                              "unfreeze", "evacuate", "restore"};
+    if (contains(kReads, call) || call.starts_with(kWherePrefix))
+        return CallKind::Read;
+    return contains(kChanges, call) ? CallKind::Change : CallKind::Unknown;
+}
+
+/// The response to a call that cannot be executed; empty where it can.
+std::string reject(CallKind kind, const std::string &method) {
+    if (kind == CallKind::Unknown)
+        return respond_not_found();
+    const bool read = kind == CallKind::Read;
+    if (method == (read ? "GET" : "POST"))
+        return "";
+    return respond(405, "Method Not Allowed", "", read ? "Allow: GET\r\n" : "Allow: POST\r\n");
+}
+
+const char *reason_of(int status) {
+    if (status == 200)
+        return "OK";
+    return status == 503 ? "Service Unavailable" : "Conflict";
+}
+
+} // namespace
+
+void AdminServer::Caller::close() {
+    boost::system::error_code ignored;
+    socket.close(ignored);
+}
+
+AdminServer::AdminServer(asio::io_context &io, core::Deadlines &deadlines, tcp::acceptor acceptor,
+                         Operations operations)
+    : io_(io), deadlines_(deadlines), acceptor_(std::move(acceptor)), operations_(std::move(operations)) {
+    asio::co_spawn(io_, accept(), asio::detached);
+}
+
+asio::awaitable<void> AdminServer::accept() {
+    for (;;) {
+        tcp::socket socket(io_);
+        const boost::system::error_code error = co_await net::accept_next(acceptor_, socket);
+        if (error == asio::error::operation_aborted)
+            co_return;
+        if (error) {
+            core::log("admin_accept_failed reason=\"{}\"", error.message());
+            co_await pause_after_failed_accept();
+            continue;
+        }
+        // A call is answered as soon as it is complete, so who has waited longest sends nothing.
+        if (callers_.size() >= kMaxCallers)
+            callers_.front().close();
+        asio::co_spawn(io_, serve(callers_.emplace(callers_.end(), std::move(socket))), asio::detached);
+    }
+}
+
+asio::awaitable<void> AdminServer::pause_after_failed_accept() {
+    asio::steady_timer timer(io_, kAcceptRetryPause);
+    boost::system::error_code ignored;
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+}
+
+asio::awaitable<void> AdminServer::serve(CallerIterator caller) {
+    auto timeout = deadlines_.in(kCallTimeout, [caller] { caller->close(); });
+    const std::string response = co_await receive_and_execute(*caller);
+    if (!response.empty()) {
+        boost::system::error_code error;
+        co_await net::write_all(caller->socket, response, error);
+        caller->socket.shutdown(tcp::socket::shutdown_send, error);
+        timeout = deadlines_.in(kLingerTime, [caller] { caller->close(); });
+        co_await drain(*caller, error);
+    }
+    caller->close();
+    callers_.erase(caller);
+}
+
+// The response; empty where the caller closed before its call was complete.
+asio::awaitable<std::string> AdminServer::receive_and_execute(Caller &caller) {
+    std::string received;
+    std::string response;
+    boost::system::error_code error;
+    while (response.empty() && !error) {
+        error = co_await net::read_more(caller.socket, received);
+        try {
+            if (auto request = net::http::read_request(received))
+                response = co_await execute(std::move(*request));
+            else if (received.size() > kMaxCallBytes)
+                response = respond_error(413, "Content Too Large");
+        } catch (const std::runtime_error &) {
+            response = respond_error(400, "Bad Request");
+        }
+    }
+    co_return response;
+}
+
+asio::awaitable<void> AdminServer::drain(Caller &caller, boost::system::error_code error) {
+    std::string ignored;
+    while (!error && ignored.size() < kMaxCallBytes)
+        error = co_await net::read_more(caller.socket, ignored);
+}
+
+// Calls about cells may have to wait for the coordinator; all others are executed at once.
+asio::awaitable<std::string> AdminServer::execute(net::http::Request request) {
+    const std::string &target = request.target;
+    const bool cells = target.starts_with(kCellsPath) &&
+                       (target.size() == kCellsPath.size() || target[kCellsPath.size()] == '/');
+    if (cells && operations_.cells)
+        co_return co_await execute_cells(std::move(request));
+    co_return execute_now(request);
+}
+
+asio::awaitable<std::string> AdminServer::execute_cells(net::http::Request request) {
+    const bool named = request.target.size() > kCellsPath.size();
+    std::string call = named ? request.target.substr(kCellsPath.size() + 1) : "list";
+    const CallKind kind = kind_of_cells_call(call);
+    if (std::string rejected = reject(kind, request.method); !rejected.empty())
+        co_return rejected;
+    std::string argument = trim(request.body);
+    if (call.starts_with(kWherePrefix)) {
+        argument = call.substr(kWherePrefix.size());
+        call = "where";
+    }
+    if (kind == CallKind::Change)
+        core::log("admin_call call=cells/{} argument=\"{}\"", call, argument);
+    const Reply reply = co_await operations_.cells(call, argument);
+    co_return respond(reply.status, reason_of(reply.status), reply.text);
+}
+
+std::string AdminServer::execute_now(const net::http::Request &request) {
+    if (!request.target.starts_with(kPrefix))
+        return respond_not_found();
+    const std::string call = request.target.substr(kPrefix.size());
+    const CallKind kind = kind_of_call(call);
+    if (std::string rejected = reject(kind, request.method); !rejected.empty())
+        return rejected;
+    if (kind == CallKind::Change)
+        return execute_change(call, trim(request.body));
+    return call == "health" ? respond_ok() : respond(200, "OK", operations_.stats());
+}
+
+std::string AdminServer::execute_change(const std::string &call, const std::string &argument) {
+    if (!operations_.cordon)
+        return respond_not_found();
+    if (!operations_.accepts_changes())
+        return respond_error(503, "Service Unavailable");
+    core::log("admin_call call={} argument=\"{}\"", call, argument);
+    if (call == "quiesce" || call == "resume") {
+        operations_.quiesce(call == "quiesce");
+        return respond_ok();
+    }
+    const bool known = call == "cordon" ? operations_.cordon(argument) : operations_.uncordon(argument);
+    return known ? respond_ok() : respond_not_found();
+}
+
+} // namespace marblewood::admin
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -1,10 +1,10 @@
 #include "app/app.hpp"
 
+#include "admin/admin_server.hpp"
 #include "config/distribution.hpp"
 #include "config/operations.hpp"
 #include "core/log.hpp"
 #include "net/clients.hpp"
-#include "net/control/control.hpp"
 #include "net/lists/document_watch.hpp"
 #include "net/lists/list_server.hpp"
 
@@ -200,9 +200,9 @@
     }
 
     void serve_control() {
-        net::control::Operations operations;
+        admin::Operations operations;
         operations.stats = [this] { return stats(); };
-        operations.acts = [] { return true; };
+        operations.accepts_changes = [] { return true; };
         control_.emplace(io_, deadlines_,
                          net::listen_at(io_, address<tcp::endpoint>(config_.control, "control")),
                          std::move(operations));
@@ -228,7 +228,7 @@
     ListServer server_;
     config::Names nodes_, zones_;
     std::optional<DiscoveryClient> nodes_watch_, documents_watch_;
-    std::optional<net::control::Control> control_;
+    std::optional<admin::AdminServer> control_;
     asio::signal_set hangups_{io_, SIGHUP};
 };
 
--- a/src/app/keep.cpp
+++ b/src/app/keep.cpp
@@ -1,9 +1,9 @@
 #include "app/app.hpp"
 
+#include "admin/admin_server.hpp"
 #include "core/log.hpp"
 #include "net/cells/office.hpp"
 #include "net/clients.hpp"
-#include "net/control/control.hpp"
 #include "net/http.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -37,15 +37,14 @@
     net::cells::Office office(
         io, deadlines, layout,
         net::listen_at(io, address<tcp::endpoint>(layout.keeper_link, "cells.keeper.link")), seed);
-    net::control::Operations operations;
+    admin::Operations operations;
     operations.stats = [&] { return office.stats(); };
-    operations.acts = [] { return true; };
-    operations.cells = [&](std::string what, std::string body,
-                           bool) -> asio::awaitable<std::pair<int, std::string>> {
+    operations.accepts_changes = [] { return true; };
+    operations.cells = [&](std::string what, std::string body) -> asio::awaitable<admin::Reply> {
         const auto reply = office.call(what, body);
-        co_return std::pair(reply.ok ? 200 : 409, reply.text);
+        co_return admin::Reply{reply.ok ? 200 : 409, reply.text};
     };
-    net::control::Control control(
+    admin::AdminServer control(
         io, deadlines,
         net::listen_at(io, address<tcp::endpoint>(layout.keeper_control, "cells.keeper.control")),
         std::move(operations));
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -1,11 +1,12 @@
 #include "app/app.hpp"
 
+#include "admin/admin_server.hpp"
+#include "admin/statistics.hpp"
 #include "core/request_dispatcher.hpp"
 #include "hot_restart/hot_restart.hpp"
 #include "net/address.hpp"
 #include "net/cells/residence.hpp"
 #include "net/clients.hpp"
-#include "net/control/control.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
 #include "net/lists/document_watch.hpp"
@@ -301,16 +302,16 @@
         return c;
     };
     const net::CostLog cost_log(deadlines, costs);
-    net::control::Operations operations;
+    admin::Operations operations;
     operations.stats = [&] {
         std::size_t open_clients = clients.open(), closing_clients = clients.closing();
         if (nvme_clients) {
             open_clients += nvme_clients->open();
             closing_clients += nvme_clients->closing();
         }
-        std::string text = net::control::spell(figures, config.settings,
-                                               {fleet.open(), fleet.size(), fleet.avoided(), costs(),
-                                                client_figures, open_clients, closing_clients});
+        std::string text = admin::format_statistics(figures, config.settings,
+                                                    {fleet.open(), fleet.size(), fleet.avoided(), costs(),
+                                                     client_figures, open_clients, closing_clients});
         if (documents)
             text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
                                 documents->in_force(), documents->refused());
@@ -330,14 +331,13 @@
     operations.cordon = [&](const std::string &id) { return cordon(id, true); };
     operations.uncordon = [&](const std::string &id) { return cordon(id, false); };
     if (residence)
-        operations.cells = [&](std::string what, std::string body,
-                               bool) -> asio::awaitable<std::pair<int, std::string>> {
+        operations.cells = [&](std::string what, std::string body) -> asio::awaitable<admin::Reply> {
             if (what == "here")
-                co_return std::pair(200, residence->spell());
+                co_return admin::Reply{200, residence->spell()};
             const auto reply = co_await residence->ask_keeper(std::move(what), std::move(body));
             if (!reply)
-                co_return std::pair(503, std::string("the keeper does not answer\n"));
-            co_return std::pair(reply->ok ? 200 : 409, reply->text);
+                co_return admin::Reply{503, "the keeper does not answer\n"};
+            co_return admin::Reply{reply->ok ? 200 : 409, reply->text};
         };
     const auto send_away = [&] {
         const auto since = away ? std::optional(away_since) : std::nullopt;
@@ -354,8 +354,8 @@
             handover->forward_quiesce(on);
     };
     operations.quiesce = quiesce;
-    operations.acts = [&] { return !handover || !handover->handed_over(); };
-    std::optional<net::control::Control> control;
+    operations.accepts_changes = [&] { return !handover || !handover->handed_over(); };
+    std::optional<admin::AdminServer> control;
     if (control_listener)
         control.emplace(io, deadlines, std::move(*control_listener), std::move(operations));
     send_away();
