--- a/src/app/cell_coordinator.cpp
+++ b/src/app/cell_coordinator.cpp
@@ -2,10 +2,10 @@
 /// The sub-command `keeper`: runs the cell coordinator of an installation.
 #include "app/app.hpp"
 
+#include "admin/admin_server.hpp"
 #include "core/log.hpp"
 #include "net/cells/coordinator_server.hpp"
 #include "net/clients.hpp"
-#include "net/control/control.hpp"
 
 #include <boost/asio/signal_set.hpp>
 #include <random>
@@ -30,14 +30,13 @@
     return high << 32 | random();
 }
 
-net::control::Operations operations_of(net::cells::CoordinatorServer &server) {
-    net::control::Operations operations;
+admin::Operations operations_of(net::cells::CoordinatorServer &server) {
+    admin::Operations operations;
     operations.stats = [&server] { return server.stats(); };
-    operations.acts = [] { return true; };
-    operations.cells = [&server](std::string name, std::string body,
-                                 bool) -> asio::awaitable<std::pair<int, std::string>> {
+    operations.accepts_changes = [] { return true; };
+    operations.cells = [&server](std::string name, std::string body) -> asio::awaitable<admin::Reply> {
         const net::link::OperatorReply reply = server.handle_call(name, body);
-        co_return std::pair(reply.ok ? 200 : 409, reply.text);
+        co_return admin::Reply{reply.ok ? 200 : 409, reply.text};
     };
     return operations;
 }
@@ -62,7 +61,7 @@
         io, deadlines, layout,
         net::listen_at(io, address<tcp::endpoint>(layout.coordinator_link, "cells.keeper.link")),
         random_seed());
-    net::control::Control control(
+    admin::AdminServer control(
         io, deadlines,
         net::listen_at(io, address<tcp::endpoint>(layout.coordinator_control, "cells.keeper.control")),
         operations_of(server));
