--- /dev/null
+++ b/src/app/broker.cpp
@@ -0,0 +1,375 @@
+#include "app/broker.hpp"
+
+#include "app/app.hpp"
+#include "app/config_reload.hpp"
+#include "app/graceful_shutdown.hpp"
+#include "app/listeners.hpp"
+#include "core/log.hpp"
+#include "net/address.hpp"
+
+#include <algorithm>
+#include <csignal>
+#include <cstdio>
+#include <cstdlib>
+#include <sys/resource.h>
+
+namespace marblewood::app {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using asio::ip::udp;
+
+namespace {
+
+constexpr int kCellSockets = 32;  // set aside for other brokers and the coordinator, where there are cells
+constexpr int kLeastSockets = 64; // that the budget is given
+constexpr std::size_t kMemoryDivisor = 4; // a quarter of the memory is for requests and answers
+/// One descriptor in so many is for a client whose request is queued. Clients have a third of them or more,
+/// and in a hot restart two processes queue requests.
+constexpr std::size_t kSocketsPerQueuedRequest = 8;
+constexpr std::size_t kLeastQueuedRequests = 4;
+/// Spreads the seeds of the dispatchers (2^64 divided by the golden ratio).
+constexpr std::uint64_t kSeedIncrement = 0x9e3779b97f4a7c15;
+
+/// The lower of the configured number and what the system allows.
+int socket_limit(const config::Config &config) {
+    rlimit files{};
+    if (::getrlimit(RLIMIT_NOFILE, &files) != 0)
+        return config.sockets;
+    return static_cast<int>(std::min<rlim_t>(static_cast<rlim_t>(config.sockets), files.rlim_cur));
+}
+
+std::optional<net::cells::Layout> read_cell_layout(const config::Operator &operator_config) {
+    if (operator_config.cells.isNull())
+        return std::nullopt;
+    return net::cells::read_layout(operator_config.cells);
+}
+
+} // namespace
+
+Broker::Broker(std::string config_path, config::Config config, const config::Operator &operator_config)
+    : config_path_(std::move(config_path)), config_(std::move(config)), operator_config_(operator_config),
+      socket_limit_(socket_limit(config_)), cell_layout_(read_cell_layout(operator_config_)),
+      sockets_(cell_layout_ ? std::max(kLeastSockets, socket_limit_ - kCellSockets) : socket_limit_),
+      memory_((config_.memory_mb << 20) / kMemoryDivisor),
+      nvme_mapping_(net::nvme::read_mapping(operator_config_.nvme, config_.settings)),
+      resp_port_(io_.get_executor(), deadlines_, memory_, sockets_, config_.settings),
+      nvme_port_(io_.get_executor(), deadlines_, sockets_, config_.settings, nvme_mapping_.block_bytes),
+      ports_(resp_port_), random_(std::random_device{}()),
+      admin_listener_(
+          config_.control.empty()
+              ? std::nullopt
+              : std::optional(net::listen_at(io_, address<tcp::endpoint>(config_.control, "control")))),
+      handover_path_(handover_path()), predecessor_(handover_path_),
+      metrics_(config_.settings.classes.size()),
+      front_end_services_{.request_handler = [this](const core::Request &request) -> core::RequestHandler & {
+                              return handler_of(request);
+                          },
+                          .random_number = [this] { return random_(); },
+                          .settings = config_.settings,
+                          .deadlines = deadlines_,
+                          .memory = memory_,
+                          .quiesced = quiesce_.active,
+                          .metrics = metrics_},
+      endpoints_(node_names_, zone_names_, nvme_mapping_, resp_port_, nvme_port_, ports_, dispatchers_) {
+    predecessor_.continue_clock(clock_);
+    create_dispatchers();
+    create_cell_member();
+    watch_endpoints();
+    use_distributors();
+    confine_to_cell();
+    open_peer_socket();
+    load_known_endpoints();
+    predecessor_.restore(endpoints_, quiesce_, clock_);
+    start_client_servers();
+    start_admin();
+    start_hot_restart();
+    if (cell_member_)
+        cell_member_->start();
+    core::log("broker_started name={} listen={}", config_.name, config_.listen);
+}
+
+void Broker::run(core::BlockedSignal &hangup) {
+    reload_signals_.add(SIGHUP);
+    await_reload_signal();
+    hangup.unblock();
+    GracefulShutdown shutdown(*termination_signals_, {.io = io_,
+                                                      .deadlines = deadlines_,
+                                                      .settings = config_.settings,
+                                                      .dispatchers = dispatchers_,
+                                                      .clients = *clients_,
+                                                      .hot_restart = *hot_restart_});
+    shutdown.await_signal();
+    io_.run();
+    core::log("process_ended connections_left={} connections_closed_unread={}", clients_->open(),
+              clients_->metrics().closed_unread);
+    // Suspended coroutines in the io_context refer to other members. No order of destruction suits all of
+    // them, and nothing is left to be saved: exit without destructors.
+    std::fflush(nullptr);
+    std::quick_exit(0);
+}
+
+void Broker::create_dispatchers() {
+    if (!operator_config_.otlp.isNull())
+        exporter_.emplace(io_, deadlines_, net::otlp::read_endpoint(operator_config_.otlp), config_.name,
+                          config_.settings, metrics_, random_());
+    core::DispatcherCallbacks callbacks;
+    callbacks.send_peer_message = [this](std::optional<int> peer, const std::string &data) {
+        send_to_peers(peer, data);
+    };
+    for (int index = 0; index < operator_config_.dispatchers; ++index) {
+        core::RequestObserver *const observer = exporter_ ? &exporter_->observer() : nullptr;
+        dispatchers_.push_back(std::make_unique<core::RequestDispatcher>(
+            io_.get_executor(), deadlines_, memory_, metrics_, dispatcher_settings(index), ports_, callbacks,
+            observer));
+    }
+}
+
+/// Each dispatcher is a host of its own to the decision module, which then divides every host's part once
+/// more.
+Settings Broker::dispatcher_settings(int index) const {
+    const int count = operator_config_.dispatchers;
+    Settings settings = config_.settings;
+    settings.hosts = config_.settings.hosts * count;
+    settings.position = config_.settings.position * count + index;
+    settings.seed = config_.settings.seed + static_cast<std::uint64_t>(index) * kSeedIncrement;
+    // Hosts that exchange messages are numbered as the peers are, which several dispatchers are not.
+    settings.peers = config_.settings.peers && count == 1 && !config_.peer_listen.empty() &&
+                     config_.peers.size() == static_cast<std::size_t>(config_.settings.hosts);
+    settings.lends = operator_config_.lends;
+    settings.max_queued_requests = std::max(
+        kLeastQueuedRequests, static_cast<std::size_t>(socket_limit_ / count) / kSocketsPerQueuedRequest);
+    return settings;
+}
+
+void Broker::create_cell_member() {
+    if (!cell_layout_)
+        return;
+    const marblewood::cells::Broker *const self = cell_layout_->map.broker(config_.name);
+    if (!self)
+        throw config::Error(fmt::format("field 'cells': no broker is called '{}'", config_.name));
+    cell_member_.emplace(
+        io_, deadlines_, memory_, sockets_, config_.settings, *cell_layout_, config_.name,
+        net::listen_at(io_, address<tcp::endpoint>(self->link, "cells")), random_(),
+        [this](const core::Request &request) -> core::RequestDispatcher & { return dispatcher_of(request); });
+}
+
+/// All requests of a volume go through one dispatcher.
+core::RequestDispatcher &Broker::dispatcher_of(const core::Request &request) {
+    const auto volume = static_cast<std::uint64_t>(request.arrival.volume);
+    return *dispatchers_[volume % dispatchers_.size()];
+}
+
+core::RequestHandler &Broker::handler_of(const core::Request &request) {
+    if (cell_member_)
+        return *cell_member_;
+    return dispatcher_of(request);
+}
+
+void Broker::watch_endpoints() {
+    if (config_.discovery.empty())
+        return;
+    const auto known_revision = config_.known.isNull() ? 0 : config::need_integer(config_.known, "revision");
+    discovery_.emplace(io_, deadlines_, config_.settings,
+                       address<tcp::endpoint>(config_.discovery, "discovery"), config_.discovery,
+                       known_revision, net::discovery::list_feed(node_names_, zone_names_),
+                       [this](const net::discovery::Reading &reading) { on_endpoints(reading); });
+}
+
+/// Distributors, where there are any, are asked in place of discovery.
+void Broker::use_distributors() {
+    if (!operator_config_.distribution.isNull()) {
+        config::Distribution distribution = read_distributors(operator_config_.distribution);
+        if (!discovery_)
+            throw config::Error("field 'discovery' is missing: distributors are asked in its place");
+        distribution::DistributorSelector selector(std::move(distribution.distributors), config_.name,
+                                                   distribution.locality, config_.settings.seed);
+        if (distribution.documents)
+            documents_.emplace(io_, deadlines_, selector, config_.name, config_.settings.seed,
+                               [this](const config::Operations &operations, distribution::Revision) {
+                                   endpoints_.cordon_fleet(operations.cordons);
+                                   report_ready_nodes();
+                               });
+        discovery_->use(std::move(selector));
+    }
+    if (!discovery_)
+        core::log("discovery_not_configured endpoints_from=known");
+}
+
+void Broker::on_endpoints(const net::discovery::Reading &reading) {
+    endpoints_.told(reading);
+    report_ready_nodes();
+}
+
+void Broker::report_ready_nodes() {
+    if (cell_member_)
+        cell_member_->ready_nodes(endpoints_.ready());
+}
+
+/// With cells, only nodes of this broker's cell are used.
+void Broker::confine_to_cell() {
+    if (!cell_member_)
+        return;
+    cell_member_->confined = [this] {
+        endpoints_.confine([this](const std::string &node) { return cell_member_->allows(node); });
+        report_ready_nodes();
+    };
+    cell_member_->confined();
+}
+
+void Broker::open_peer_socket() {
+    if (config_.peer_listen.empty() || !config_.settings.peers)
+        return;
+    std::vector<udp::endpoint> peers;
+    for (const std::string &peer : config_.peers)
+        peers.push_back(address<udp::endpoint>(peer, "peers"));
+    std::optional<udp::endpoint> all_peers;
+    if (!config_.peers_all.empty())
+        all_peers = address<udp::endpoint>(config_.peers_all, "peers_all");
+    const auto listen = address<udp::endpoint>(config_.peer_listen, "peer_listen");
+    udp::socket socket(io_);
+    if (auto inherited = predecessor_.take_socket("peers"); inherited.get() >= 0)
+        socket.assign(listen.protocol(), inherited.release());
+    else
+        socket = udp::socket(io_, listen);
+    peers_.emplace(std::move(socket), peers, all_peers,
+                   [this](const PeerMessage &message) { on_peer_message(message); });
+}
+
+void Broker::send_to_peers(std::optional<int> peer, const std::string &data) {
+    if (peers_)
+        peers_->tell(peer, data);
+}
+
+void Broker::on_peer_message(const PeerMessage &message) {
+    for (const auto &dispatcher : dispatchers_)
+        dispatcher->peer_message(message);
+}
+
+/// The nodes that the configuration file names serve until discovery has answered.
+void Broker::load_known_endpoints() {
+    net::discovery::Reading known;
+    if (!config_.known.isNull())
+        known = net::discovery::read(config_.known, node_names_, zone_names_);
+    known.update.kind = ListUpdate::Kind::Saved;
+    on_endpoints(known);
+}
+
+/// Opens the NVMe/TCP listener first: it may have to wait for its address, and no client that has connected
+/// should. Signals are caught before clients may connect, so that a shutdown answers them.
+void Broker::start_client_servers() {
+    std::optional<tcp::acceptor> nvme_listener;
+    if (!nvme_mapping_.listen.empty())
+        nvme_listener = open_listener(io_, net::Descriptor(), predecessor_.take_socket("nvme"),
+                                      address<tcp::endpoint>(nvme_mapping_.listen, "nvme.listen"));
+    termination_signals_.emplace(io_, SIGTERM, SIGINT);
+    auto resp_listener = open_listener(io_, platform_listener(), predecessor_.take_socket("clients"),
+                                       address<tcp::endpoint>(config_.listen, "listen"));
+    clients_.emplace(io_, sockets_, front_end_services_, nvme_mapping_, std::move(resp_listener),
+                     std::move(nvme_listener));
+}
+
+void Broker::start_admin() {
+    stats_.emplace(BrokerStats::Sources{.metrics = metrics_,
+                                        .settings = config_.settings,
+                                        .sockets = sockets_,
+                                        .endpoints = endpoints_,
+                                        .dispatchers = dispatchers_,
+                                        .clients = *clients_,
+                                        .discovery = discovery_,
+                                        .documents = documents_,
+                                        .peers = peers_,
+                                        .cell_member = cell_member_});
+    cost_log_.emplace(deadlines_, [this] { return stats_->costs(); });
+    if (admin_listener_)
+        admin_.emplace(io_, deadlines_, std::move(*admin_listener_), admin_operations());
+    clients_->apply(quiesce_);
+}
+
+net::control::Operations Broker::admin_operations() {
+    net::control::Operations operations;
+    operations.stats = [this] { return stats_->text(); };
+    operations.cordon = [this](const std::string &node) { return set_cordoned(node, true); };
+    operations.uncordon = [this](const std::string &node) { return set_cordoned(node, false); };
+    operations.quiesce = [this](bool active) { set_quiesced(active); };
+    operations.acts = [this] { return !hot_restart_->has_yielded(); };
+    if (cell_member_)
+        operations.cells = [this](std::string call, std::string body, bool) {
+            return cell_operation(std::move(call), std::move(body));
+        };
+    return operations;
+}
+
+/// The HTTP status and the text to answer with.
+asio::awaitable<std::pair<int, std::string>> Broker::cell_operation(std::string call, std::string body) {
+    constexpr int kOk = 200;
+    constexpr int kConflict = 409;
+    constexpr int kUnavailable = 503;
+    if (call == "here")
+        co_return std::pair(kOk, cell_member_->spell());
+    const auto reply = co_await cell_member_->ask_keeper(std::move(call), std::move(body));
+    if (!reply)
+        co_return std::pair(kUnavailable, std::string("the keeper does not answer\n"));
+    co_return std::pair(reply->ok ? kOk : kConflict, reply->text);
+}
+
+/// False: no node has the id.
+bool Broker::set_cordoned(const std::string &node, bool cordoned) {
+    const bool known = cordoned ? endpoints_.cordon(node) : endpoints_.uncordon(node);
+    report_ready_nodes();
+    if (known)
+        hot_restart_->tell_predecessor_cordon(node, cordoned);
+    return known;
+}
+
+void Broker::set_quiesced(bool active) {
+    if (active && !quiesce_.active)
+        quiesce_.since = clock_.now();
+    quiesce_.active = active;
+    clients_->apply(quiesce_);
+    hot_restart_->tell_predecessor_quiesce(active);
+}
+
+void Broker::start_hot_restart() {
+    hot_restart_.emplace(
+        handover_path_,
+        HotRestart::Parts{.io = io_,
+                          .deadlines = deadlines_,
+                          .sockets = sockets_,
+                          .memory = memory_,
+                          .endpoints = endpoints_,
+                          .clients = *clients_,
+                          .peers = peers_,
+                          .quiesce = quiesce_},
+        HotRestart::OperatorActions{
+            .cordon = [this](const std::string &node, bool cordoned) { set_cordoned(node, cordoned); },
+            .quiesce = [this](bool active) { set_quiesced(active); }});
+    if (predecessor_.is_present())
+        hot_restart_->take_over(predecessor_);
+}
+
+void Broker::await_reload_signal() {
+    reload_signals_.async_wait([this](const boost::system::error_code &error, int) {
+        if (error)
+            return;
+        reload_config(config_path_, config_, metrics_,
+                      [this](const tcp::endpoint &address, const std::string &spelling) {
+                          move_discovery(address, spelling);
+                      });
+        await_reload_signal();
+    });
+}
+
+void Broker::move_discovery(const tcp::endpoint &address, const std::string &spelling) {
+    if (!operator_config_.distribution.isNull()) {
+        core::log("discovery_change_ignored reason=distributors_configured");
+        return;
+    }
+    if (!discovery_)
+        discovery_.emplace(io_, deadlines_, config_.settings, address, spelling, 0,
+                           net::discovery::list_feed(node_names_, zone_names_),
+                           [this](const net::discovery::Reading &reading) { on_endpoints(reading); });
+    discovery_->move(address, spelling);
+}
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/broker.hpp
@@ -0,0 +1,117 @@
+/// \file
+/// The broker process: creates its parts, connects them and runs the loop.
+#pragma once
+
+#include "app/broker_stats.hpp"
+#include "app/client_servers.hpp"
+#include "app/hot_restart.hpp"
+#include "app/predecessor.hpp"
+#include "config/config.hpp"
+#include "core/blocked_signal.hpp"
+#include "core/request_dispatcher.hpp"
+#include "net/cells/residence.hpp"
+#include "net/control/control.hpp"
+#include "net/costs.hpp"
+#include "net/endpoint_registry.hpp"
+#include "net/lists/document_watch.hpp"
+#include "net/nvme/mapping.hpp"
+#include "net/nvme/node_port.hpp"
+#include "net/otlp/exporter.hpp"
+#include "net/peers/peers.hpp"
+#include "net/resp/node_port.hpp"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/signal_set.hpp>
+#include <optional>
+#include <random>
+#include <string>
+
+namespace marblewood::app {
+
+/// Everything runs on the thread that calls run(). The parts are members in the order in which they are
+/// created: each refers only to parts above it, unless it says otherwise.
+class Broker {
+public:
+    /// Creates all parts; the broker accepts clients from then on. What may fail comes before a predecessor
+    /// is asked for its state (hot restart). Throws config::Error naming the setting that is wrong, or
+    /// boost::system::system_error for an address that can't be listened at.
+    Broker(std::string config_path, config::Config config, const config::Operator &operator_config);
+
+    /// Serves until SIGTERM or SIGINT, then shuts down (GracefulShutdown) and exits the process. `hangup` is
+    /// unblocked once SIGHUP is handled.
+    [[noreturn]] void run(core::BlockedSignal &hangup);
+
+private:
+    // Steps of the construction, in their order.
+    void create_dispatchers();
+    void create_cell_member();
+    void watch_endpoints();
+    void use_distributors();
+    void confine_to_cell();
+    void open_peer_socket();
+    void load_known_endpoints();
+    void start_client_servers();
+    void start_admin();
+    void start_hot_restart();
+
+    Settings dispatcher_settings(int index) const;
+    core::RequestDispatcher &dispatcher_of(const core::Request &request);
+    core::RequestHandler &handler_of(const core::Request &request);
+
+    void on_endpoints(const net::discovery::Reading &reading);
+    void report_ready_nodes();
+    void send_to_peers(std::optional<int> peer, const std::string &data);
+    void on_peer_message(const PeerMessage &message);
+
+    net::control::Operations admin_operations();
+    boost::asio::awaitable<std::pair<int, std::string>> cell_operation(std::string call, std::string body);
+    bool set_cordoned(const std::string &node, bool cordoned);
+    void set_quiesced(bool active);
+
+    void await_reload_signal();
+    void move_discovery(const boost::asio::ip::tcp::endpoint &address, const std::string &spelling);
+
+    const std::string config_path_;
+    config::Config config_;
+    const config::Operator &operator_config_;
+    const int socket_limit_;
+
+    boost::asio::io_context io_{1};
+    core::Clock clock_;
+    const std::optional<net::cells::Layout> cell_layout_;
+    core::Deadlines deadlines_{io_, clock_};
+    net::SocketBudget sockets_;
+    core::MemoryBudget memory_;
+    config::Names node_names_;
+    config::Names zone_names_;
+    const net::nvme::Mapping nvme_mapping_;
+    net::resp::NodePort resp_port_;
+    net::nvme::NodePort nvme_port_;
+    net::Ports ports_;
+    std::mt19937_64 random_;
+
+    std::optional<boost::asio::ip::tcp::acceptor> admin_listener_;
+    const std::string handover_path_;
+    Predecessor predecessor_;
+
+    std::optional<net::discovery::Discovery> discovery_; // set up below endpoints_, to which it reports
+    std::optional<net::lists::DocumentWatch> documents_; // the same
+    std::optional<net::peers::Peers> peers_;             // reports to dispatchers_
+    net::EndpointRegistry::Dispatchers dispatchers_;
+    core::Metrics metrics_;
+    std::optional<net::otlp::Exporter> exporter_;
+    QuiesceState quiesce_;
+    std::optional<net::cells::Residence> cell_member_;
+    const core::FrontEndServices front_end_services_;
+    net::EndpointRegistry endpoints_;
+
+    std::optional<boost::asio::signal_set> termination_signals_;
+    std::optional<ClientServers> clients_;
+    std::optional<BrokerStats> stats_;
+    std::optional<net::CostLog> cost_log_;
+    std::optional<net::control::Control> admin_;
+    std::optional<HotRestart> hot_restart_;
+    boost::asio::signal_set reload_signals_{io_};
+};
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/broker_stats.cpp
@@ -0,0 +1,60 @@
+#include "app/broker_stats.hpp"
+
+#include "net/control/control.hpp"
+
+#include <fmt/format.h>
+
+namespace marblewood::app {
+
+namespace {
+
+/// Overload counters, summed over all dispatchers.
+net::Counts overload_counts(const net::EndpointRegistry::Dispatchers &dispatchers) {
+    net::Counts sum{};
+    for (const auto &dispatcher : dispatchers) {
+        const net::Counts one = net::counts(dispatcher->overload());
+        for (std::size_t n = 0; n < one.size(); ++n)
+            sum[n] = {one[n].first, sum[n].second + one[n].second};
+    }
+    return sum;
+}
+
+} // namespace
+
+net::Costs BrokerStats::costs() const {
+    using Kind = core::Outcome::Kind;
+    net::Costs costs;
+    costs.requests = from_.metrics.total();
+    costs.probes = from_.metrics.probes;
+    costs.connections = from_.sockets.opened();
+    costs.list_calls = from_.discovery ? from_.discovery->calls() : 0;
+    costs.failed = from_.metrics.total(Kind::Failed);
+    costs.broken = from_.metrics.streams_broken;
+    costs.turned_away = from_.metrics.malformed_requests;
+    costs.refused = from_.metrics.total(Kind::Refused);
+    costs.unsent = from_.metrics.refused_unsent;
+    costs.datagrams = from_.peers ? from_.peers->sent() : 0;
+    costs.datagram_bytes = from_.peers ? from_.peers->bytes() : 0;
+    costs.overload = overload_counts(from_.dispatchers);
+    return costs;
+}
+
+std::string BrokerStats::text() const {
+    net::control::State state;
+    state.current = from_.endpoints.open();
+    state.nodes = from_.endpoints.size();
+    state.avoided = from_.endpoints.avoided();
+    state.costs = costs();
+    state.clients = from_.clients.metrics();
+    state.clients_open = from_.clients.open();
+    state.clients_closing = from_.clients.closing();
+    std::string text = net::control::spell(from_.metrics, from_.settings, state);
+    if (from_.documents)
+        text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
+                            from_.documents->in_force(), from_.documents->refused());
+    if (from_.cell_member)
+        text += from_.cell_member->stats();
+    return text;
+}
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/broker_stats.hpp
@@ -0,0 +1,46 @@
+/// \file
+/// The broker's metrics as the admin interface and the log report them.
+#pragma once
+
+#include "app/client_servers.hpp"
+#include "core/metrics.hpp"
+#include "net/cells/residence.hpp"
+#include "net/costs.hpp"
+#include "net/discovery/discovery.hpp"
+#include "net/endpoint_registry.hpp"
+#include "net/lists/document_watch.hpp"
+#include "net/peers/peers.hpp"
+#include "net/sockets.hpp"
+
+#include <optional>
+#include <string>
+
+namespace marblewood::app {
+
+/// Collects metrics from all parts of the broker, which outlive it.
+class BrokerStats {
+public:
+    struct Sources {
+        const core::Metrics &metrics;
+        const Settings &settings;
+        const net::SocketBudget &sockets;
+        const net::EndpointRegistry &endpoints;
+        const net::EndpointRegistry::Dispatchers &dispatchers;
+        const ClientServers &clients;
+        const std::optional<net::discovery::Discovery> &discovery;
+        const std::optional<net::lists::DocumentWatch> &documents;
+        const std::optional<net::peers::Peers> &peers;
+        const std::optional<net::cells::Residence> &cell_member;
+    };
+
+    explicit BrokerStats(Sources sources) : from_(sources) {}
+    /// What the broker asks of other hosts, for the log and as part of text().
+    net::Costs costs() const;
+    /// All metrics, one a line, in the form of StatsD.
+    std::string text() const;
+
+private:
+    Sources from_;
+};
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/client_servers.cpp
@@ -0,0 +1,59 @@
+#include "app/client_servers.hpp"
+
+#include <memory>
+
+namespace marblewood::app {
+
+ClientServers::ClientServers(boost::asio::io_context &io, net::SocketBudget &sockets,
+                             const core::FrontEndServices &services, const net::nvme::Mapping &nvme_mapping,
+                             Acceptor resp_listener, std::optional<Acceptor> nvme_listener)
+    : services_(services), nvme_mapping_(nvme_mapping),
+      resp_(io, services.deadlines, sockets, metrics_, std::move(resp_listener),
+            [this](net::Client &client) { return net::resp::serve(client, services_, open_ids_); }) {
+    if (!nvme_listener)
+        return;
+    nvme_.emplace(io, services.deadlines, sockets, metrics_, std::move(*nvme_listener),
+                  [this](net::Client &client) {
+                      return net::nvme::serve(client, services_, nvme_mapping_, nvme_controllers_);
+                  });
+}
+
+std::size_t ClientServers::open() const {
+    return resp_.open() + (nvme_ ? nvme_->open() : 0);
+}
+
+std::size_t ClientServers::closing() const {
+    return resp_.closing() + (nvme_ ? nvme_->closing() : 0);
+}
+
+void ClientServers::apply(const QuiesceState &state) {
+    resp_.quiesce(state.active_since());
+    if (nvme_)
+        nvme_->quiesce(state.active_since());
+}
+
+void ClientServers::pause_accepting() {
+    resp_.pause();
+    if (nvme_)
+        nvme_->pause();
+}
+
+void ClientServers::resume_accepting() {
+    resp_.resume();
+    if (nvme_)
+        nvme_->resume();
+}
+
+void ClientServers::drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done) {
+    const auto servers_left = std::make_shared<int>(nvme_ ? 2 : 1);
+    const auto server_done = [servers_left, done = std::move(done)] {
+        --*servers_left;
+        if (*servers_left == 0)
+            done();
+    };
+    resp_.drain(close_connections_at, answer_all_at, server_done);
+    if (nvme_)
+        nvme_->drain(close_connections_at, answer_all_at, server_done);
+}
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/config_reload.cpp
@@ -0,0 +1,53 @@
+#include "app/config_reload.hpp"
+
+#include "app/app.hpp"
+#include "core/log.hpp"
+#include "net/discovery/discovery.hpp"
+
+#include <set>
+
+namespace marblewood::app {
+
+namespace {
+
+using boost::asio::ip::tcp;
+
+/// `known` must be readable, although the running process has a newer list already.
+void check_known_nodes(const config::Config &config) {
+    if (config.known.isNull())
+        return;
+    config::Names nodes;
+    config::Names zones;
+    net::discovery::read(config.known, nodes, zones);
+}
+
+void log_fields_that_need_restart(const config::Config &fresh, const config::Config &current) {
+    static const std::set<std::string> kOtherFields{"discovery", "known", "seed"};
+    for (const std::string &field : fresh.file.getMemberNames()) {
+        if (!kOtherFields.contains(field) && fresh.file[field] != current.file[field])
+            core::log("config_change_needs_restart field={}", field);
+    }
+}
+
+} // namespace
+
+void reload_config(const std::string &path, config::Config &config, core::Metrics &metrics,
+                   const DiscoveryMoved &on_discovery_moved) {
+    try {
+        const config::Config fresh = config::load(path);
+        const auto discovery = address<tcp::endpoint>(fresh.discovery, "discovery");
+        address<tcp::endpoint>(fresh.listen, "listen");
+        check_known_nodes(fresh);
+        log_fields_that_need_restart(fresh, config);
+        core::log("config_reloaded discovery={}", fresh.discovery);
+        if (fresh.discovery != config.discovery)
+            on_discovery_moved(discovery, fresh.discovery);
+        config.discovery = fresh.discovery;
+        ++metrics.reloads;
+    } catch (const std::exception &error) {
+        ++metrics.reloads_failed;
+        core::log("config_reload_failed error=\"{}\"", error.what());
+    }
+}
+
+} // namespace marblewood::app
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -1,5 +1,5 @@
 #include "app/app.hpp"
-
+#include "app/distributor_stats.hpp"
 #include "config/distribution.hpp"
 #include "config/operations.hpp"
 #include "core/log.hpp"
@@ -8,6 +8,7 @@
 #include "net/lists/document_watch.hpp"
 #include "net/lists/list_server.hpp"
 
+#include <algorithm>
 #include <boost/asio/signal_set.hpp>
 #include <random>
 #include <sys/resource.h>
@@ -23,81 +24,16 @@
 using net::lists::Channel;
 using net::lists::ListServer;
 
-class Figures {
-public:
-    void gauge(std::string_view name, auto value) { put(name, value, 'g'); }
-    void count(std::string_view name, std::uint64_t value) { put(name, value, 'c'); }
-    std::string text;
-
-private:
-    void put(std::string_view name, auto value, char kind) {
-        text += fmt::format("distribution.{}:{}|{}\n", name, value, kind);
-    }
-};
-
-void put_callers(Figures &figures, const ListServer &server) {
-    const auto &log = server.log(Channel::Nodes);
-    const auto &delivery = server.delivery(Channel::Nodes);
-    std::size_t current = 0;
-    std::optional<distribution::Revision> lowest;
-    for (const auto &[revision, callers] : delivery.revisions_held()) {
-        if (!lowest)
-            lowest = revision;
-        if (revision >= log.revision())
-            current += callers;
-    }
-    figures.gauge("callers", server.callers());
-    figures.gauge("callers_with_revision", current);
-    figures.gauge("lowest_revision_held", lowest.value_or(log.revision()));
-}
-
-void put_answers(Figures &figures, const ListServer &server) {
-    distribution::DeliveryFigures sum;
-    for (const Channel channel : {Channel::Nodes, Channel::Documents}) {
-        const auto &delivery = server.delivery(channel).figures();
-        sum.calls += delivery.calls;
-        sum.nothing += delivery.nothing;
-        sum.changes += delivery.changes;
-        sum.behind += delivery.behind;
-        sum.put_off += delivery.put_off;
-    }
-    figures.count("calls", sum.calls);
-    figures.count("answers_nothing", sum.nothing);
-    figures.count("answers_changes", sum.changes);
-    figures.count("answers_whole", server.delivery(Channel::Nodes).figures().whole);
-    figures.count("documents.answers_whole", server.delivery(Channel::Documents).figures().whole);
-    figures.count("answers_behind", sum.behind);
-    figures.count("put_off", sum.put_off);
-}
-
-void put_traffic(Figures &figures, const ListServer &server, const net::discovery::Traffic &parent) {
-    const auto &own = server.figures();
-    figures.count("accepted", own.accepted);
-    figures.count("turned_away", own.turned_away);
-    figures.count("malformed_calls", own.malformed);
-    figures.count("received_bytes", own.received_bytes);
-    figures.count("sent_bytes", own.sent_bytes);
-    figures.gauge("peak_second_bytes", own.peak_second_bytes);
-    figures.count("parent_calls", parent.calls);
-    figures.count("parent_sent_bytes", parent.sent_bytes);
-    figures.count("parent_received_bytes", parent.received_bytes);
-    figures.count("parent_failed", parent.failed);
-    figures.count("parent_malformed", parent.malformed);
-    figures.count("parent_older", parent.older);
-    figures.count("parent_partial", parent.partial);
+tcp::endpoint listen_address(const config::DistributorConfig &config) {
+    return address<tcp::endpoint>(config.listen, "listen");
 }
 
-// How far the configuration's newest version has come: who has it, who has not, and for how long (ms).
-void put_documents(Figures &figures, const ListServer &server, Micros now) {
-    const auto summary = server.reports().summary(now);
-    figures.gauge("documents.version", server.log(Channel::Documents).revision());
-    figures.gauge("documents.brokers", summary.brokers);
-    figures.gauge("documents.brokers_with_version", summary.current);
-    for (const auto &one : summary.lacking)
-        figures.gauge("documents.lacking_ms." + one.broker, one.for_us / 1000);
+tcp::endpoint admin_address(const config::DistributorConfig &config) {
+    return address<tcp::endpoint>(config.control, "control");
 }
 
-// The distributor as a whole: what it watches, and what it serves.
+/// A distributor: watches the endpoint list and the configuration documents at its parents, and serves both
+/// to its callers. Everything runs on the thread that calls run(); `config` outlives it.
 class DistributorProcess {
 public:
     DistributorProcess(const config::DistributorConfig &config, std::uint64_t seed)
@@ -109,26 +45,24 @@
         if (!config.document_parents.empty())
             watch_documents(seed);
         if (!config.control.empty())
-            serve_control();
+            start_admin();
     }
 
-    void run(core::HeldSignal &hangup) {
-        core::log("distributor {} serves at {}", config_.name, config_.listen);
-        await_hangup();
-        hangup.release();
+    /// Serves until SIGTERM or SIGINT.
+    void run(core::BlockedSignal &hangup) {
+        core::log("distributor_started name={} listen={}", config_.name, config_.listen);
+        await_reload_signal();
+        hangup.unblock();
         asio::signal_set signals(io_, SIGTERM, SIGINT);
         signals.async_wait([&](const boost::system::error_code &error, int) {
             if (!error)
                 io_.stop();
         });
         io_.run();
-        core::log("ended");
+        core::log("process_ended");
     }
 
 private:
-    static tcp::endpoint listen_address(const config::DistributorConfig &config) {
-        return address<tcp::endpoint>(config.listen, "listen");
-    }
     distribution::DistributorSelector selector(const std::vector<distribution::Distributor> &parents,
                                                std::uint64_t seed) const {
         return {parents, config_.name, config_.locality, seed};
@@ -136,87 +70,87 @@
 
     void watch_nodes(std::uint64_t seed) {
         auto parents = selector(config_.parents, seed);
-        const std::string first = parents.current().address;
-        nodes_watch_.emplace(
-            io_, deadlines_, net::lists::shared_service(seed),
-            address<tcp::endpoint>(first, "parents.address"), first, net::discovery::kNothingKnown,
-            net::discovery::list_feed(nodes_, zones_), [this](const net::discovery::Reading &reading) {
-                nodes_.forget_if([](std::uint32_t) { return true; }); // names of one answer at a time
-                zones_.forget_if([](std::uint32_t) { return true; });
-                take(Channel::Nodes, net::lists::to_update(reading));
-            });
+        const std::string first_parent = parents.current().address;
+        nodes_watch_.emplace(io_, deadlines_, net::lists::shared_service(seed),
+                             address<tcp::endpoint>(first_parent, "parents.address"), first_parent,
+                             net::discovery::kNothingKnown,
+                             net::discovery::list_feed(node_names_, zone_names_),
+                             [this](const net::discovery::Reading &reading) { on_nodes(reading); });
         nodes_watch_->use(std::move(parents));
     }
 
+    /// Names are needed only while an answer is decoded, so that they need not be kept for nodes that have
+    /// gone.
+    void on_nodes(const net::discovery::Reading &reading) {
+        node_names_.forget_if([](std::uint32_t) { return true; });
+        zone_names_.forget_if([](std::uint32_t) { return true; });
+        publish(Channel::Nodes, net::lists::to_update(reading));
+    }
+
     void watch_documents(std::uint64_t seed) {
         auto parents = selector(config_.document_parents, seed);
-        const std::string first = parents.current().address;
-        net::discovery::Feed feed{net::lists::kDocumentsPath, net::lists::read_documents, [this] {
-                                      const auto below = server_.reports().subtree(clock_.now());
-                                      return spell(net::lists::Report{config_.name, std::nullopt, below});
-                                  }};
+        const std::string first_parent = parents.current().address;
+        net::discovery::Feed feed{net::lists::kDocumentsPath, net::lists::read_documents,
+                                  [this] { return report_to_parent(); }};
         documents_watch_.emplace(io_, deadlines_, net::lists::shared_service(seed),
-                                 address<tcp::endpoint>(first, "documents.parents.address"), first,
-                                 net::discovery::kNothingKnown, std::move(feed),
+                                 address<tcp::endpoint>(first_parent, "documents.parents.address"),
+                                 first_parent, net::discovery::kNothingKnown, std::move(feed),
                                  [this](const net::discovery::Reading &reading) {
-                                     take(Channel::Documents, net::lists::to_update(reading));
+                                     publish(Channel::Documents, net::lists::to_update(reading));
                                  });
         documents_watch_->use(std::move(parents));
     }
 
-    void take(Channel channel, const distribution::Update &update) {
+    std::string report_to_parent() const {
+        const auto subtree = server_.reports().subtree(clock_.now());
+        return spell(net::lists::Report{config_.name, std::nullopt, subtree});
+    }
+
+    void publish(Channel channel, const distribution::Update &update) {
         if (server_.take(channel, update) == distribution::Taken::Older)
-            core::log("revision {} is not above the one that is held", update.revision);
+            core::log("update_ignored revision={} reason=not_newer", update.revision);
     }
 
-    // The file is taken whole or not at all; throws config::Error.
+    /// Publishes the document file, whole or not at all. Throws config::Error.
     void load_documents() {
         const config::DocumentFile file = config::load_documents(config_.document_file);
-        const distribution::Revision held = server_.log(Channel::Documents).revision();
-        if (file.version <= held)
+        const distribution::Revision current = server_.log(Channel::Documents).revision();
+        if (file.version <= current)
             throw config::Error(
-                fmt::format("field 'version': {} is not above {}, which is in force", file.version, held));
-        take(Channel::Documents,
-             {file.version,
-              true,
-              {net::lists::document_member(config::kOperationsDocument, file.operations)}});
-        core::log("documents: version {}", file.version);
+                fmt::format("field 'version': {} is not above {}, which is in force", file.version, current));
+        publish(Channel::Documents,
+                {file.version,
+                 true,
+                 {net::lists::document_member(config::kOperationsDocument, file.operations)}});
+        core::log("documents_loaded version={}", file.version);
     }
 
-    void await_hangup() {
-        hangups_.async_wait([this](const boost::system::error_code &error, int) {
+    void await_reload_signal() {
+        reload_signals_.async_wait([this](const boost::system::error_code &error, int) {
             if (error)
                 return;
-            try {
-                if (!config_.document_file.empty())
-                    load_documents();
-            } catch (const std::exception &wrong) { // what is served stays
-                core::log("documents: not taken: {}", wrong.what());
-            }
-            await_hangup();
+            reload_documents();
+            await_reload_signal();
         });
     }
 
-    void serve_control() {
-        net::control::Operations operations;
-        operations.stats = [this] { return stats(); };
-        operations.acts = [] { return true; };
-        control_.emplace(io_, deadlines_,
-                         net::listen_at(io_, address<tcp::endpoint>(config_.control, "control")),
-                         std::move(operations));
+    /// An error leaves the documents that are in force.
+    void reload_documents() {
+        try {
+            if (!config_.document_file.empty())
+                load_documents();
+        } catch (const std::exception &error) {
+            core::log("documents_rejected error=\"{}\"", error.what());
+        }
     }
 
-    std::string stats() const {
-        const auto &log = server_.log(Channel::Nodes);
-        Figures figures;
-        figures.gauge("revision", log.revision());
-        figures.gauge("oldest_revision", log.oldest());
-        figures.gauge("members", log.size());
-        put_callers(figures, server_);
-        put_answers(figures, server_);
-        put_traffic(figures, server_, nodes_watch_->traffic());
-        put_documents(figures, server_, clock_.now());
-        return figures.text;
+    void start_admin() {
+        net::control::Operations operations;
+        operations.stats = [this] {
+            return distributor_stats(server_, nodes_watch_->traffic(), clock_.now());
+        };
+        operations.acts = [] { return true; };
+        admin_.emplace(io_, deadlines_, net::listen_at(io_, admin_address(config_)), std::move(operations));
     }
 
     const config::DistributorConfig &config_;
@@ -224,50 +158,55 @@
     core::Clock clock_;
     core::Deadlines deadlines_{io_, clock_};
     ListServer server_;
-    config::Names nodes_, zones_;
-    std::optional<Discovery> nodes_watch_, documents_watch_;
-    std::optional<net::control::Control> control_;
-    asio::signal_set hangups_{io_, SIGHUP};
+    config::Names node_names_;
+    config::Names zone_names_;
+    std::optional<Discovery> nodes_watch_;
+    std::optional<Discovery> documents_watch_;
+    std::optional<net::control::Control> admin_;
+    asio::signal_set reload_signals_{io_, SIGHUP};
 };
 
-// A caller needs a descriptor: as many as the system allows are taken up, and no more callers than those
-// bear.
+/// Raises the limit on descriptors as far as the system allows, and lowers the number of callers to what it
+/// then bears: each needs a descriptor.
 void fit_to_descriptors(config::DistributorConfig &config) {
-    constexpr std::size_t kSpare = 64; // listeners, parents, control's callers, the log
+    constexpr std::size_t kOwnDescriptors = 64; // listeners, parents, admin connections, the log
     rlimit files{};
     if (::getrlimit(RLIMIT_NOFILE, &files) != 0)
         return;
     files.rlim_cur = files.rlim_max;
     ::setrlimit(RLIMIT_NOFILE, &files);
-    const std::size_t most = std::max<std::size_t>(files.rlim_cur, 2 * kSpare) - kSpare;
-    if (config.most_callers <= most)
+    const std::size_t supported =
+        std::max<std::size_t>(files.rlim_cur, 2 * kOwnDescriptors) - kOwnDescriptors;
+    if (config.most_callers <= supported)
         return;
-    core::log("field 'most_callers': {}, where the system's limit of descriptors bears {}",
-              config.most_callers, most);
-    config.most_callers = most;
+    core::log("most_callers_reduced configured={} supported={}", config.most_callers, supported);
+    config.most_callers = supported;
 }
 
-// All addresses, before anything is opened.
+/// Checks all addresses before anything is opened. Throws config::Error.
 void check_addresses(const config::DistributorConfig &config) {
     for (const auto &parent : config.parents)
         address<tcp::endpoint>(parent.address, "parents.address");
     for (const auto &parent : config.document_parents)
         address<tcp::endpoint>(parent.address, "documents.parents.address");
-    address<tcp::endpoint>(config.listen, "listen");
+    listen_address(config);
     if (!config.control.empty())
-        address<tcp::endpoint>(config.control, "control");
+        admin_address(config);
+}
+
+std::uint64_t random_seed() {
+    std::random_device random;
+    return static_cast<std::uint64_t>(random()) << 32 | random();
 }
 
 } // namespace
 
-int distribute(const std::string &path, core::HeldSignal &hangup) {
+int distribute(const std::string &path, core::BlockedSignal &hangup) {
     config::DistributorConfig config = config::load_distributor(path);
     check_addresses(config);
     fit_to_descriptors(config);
-    std::random_device random;
-    const std::uint64_t seed = static_cast<std::uint64_t>(random()) << 32 | random();
-    // Its loop holds coroutines that refer to it, so it is never destroyed: see serve().
-    auto *const process = new DistributorProcess(config, seed);
+    // Never destroyed: suspended coroutines in its io_context refer to its members (as in Broker::run).
+    auto *const process = new DistributorProcess(config, random_seed());
     process->run(hangup);
     std::fflush(nullptr);
     std::quick_exit(0);
--- /dev/null
+++ b/src/app/distributor_stats.hpp
@@ -0,0 +1,18 @@
+/// \file
+/// The metrics of a distributor as its admin interface reports them.
+#pragma once
+
+#include "net/discovery/discovery.hpp"
+#include "net/lists/list_server.hpp"
+
+#include <string>
+
+namespace marblewood::app {
+
+/// All metrics, one a line, in the form of StatsD.
+/// \param parent traffic of the watch on the endpoint list.
+/// \param now    Unix time in us.
+std::string distributor_stats(const net::lists::ListServer &server, const net::discovery::Traffic &parent,
+                              Micros now);
+
+} // namespace marblewood::app
--- /dev/null
+++ b/src/app/graceful_shutdown.hpp
@@ -0,0 +1,40 @@
+/// \file
+/// Ends the process at SIGTERM or SIGINT, after its clients have their answers.
+#pragma once
+
+#include "app/client_servers.hpp"
+#include "app/hot_restart.hpp"
+#include "app/shutdown_schedule.hpp"
+#include "net/endpoint_registry.hpp"
+
+#include <boost/asio/signal_set.hpp>
+
+namespace marblewood::app {
+
+/// Carries out a ShutdownSchedule at the first signal; further ones are only logged. Used on the loop's
+/// thread alone; the references outlive it.
+class GracefulShutdown {
+public:
+    struct Parts {
+        boost::asio::io_context &io; ///< stopped at the end
+        core::Deadlines &deadlines;
+        const Settings &settings;
+        net::EndpointRegistry::Dispatchers &dispatchers;
+        ClientServers &clients;
+        const HotRestart &hot_restart;
+    };
+
+    GracefulShutdown(boost::asio::signal_set &signals, Parts parts) : signals_(signals), parts_(parts) {}
+    void await_signal();
+
+private:
+    void begin(int signal_number);
+    void log_further_signals();
+    void stop_once_handed_over();
+
+    boost::asio::signal_set &signals_;
+    Parts parts_;
+    core::Deadlines::Entry recheck_;
+};
+
+} // namespace marblewood::app
--- a/src/app/keep.cpp
+++ b/src/app/keep.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-int keep(const std::string &operators, core::HeldSignal &hangup) {
+int keep(const std::string &operators, core::BlockedSignal &hangup) {
     const net::cells::Layout layout = read(operators);
     asio::io_context io(1);
     core::Clock clock;
@@ -64,7 +64,7 @@
         });
     };
     await_hangup();
-    hangup.release();
+    hangup.unblock();
     asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code &error, int) {
         if (!error)
--- /dev/null
+++ b/src/app/predecessor.cpp
@@ -0,0 +1,53 @@
+#include "app/predecessor.hpp"
+
+#include "config/config.hpp"
+#include "core/log.hpp"
+
+#include <cstdlib>
+
+namespace marblewood::app {
+
+std::string handover_path() {
+    const char *const folder = std::getenv("TMPDIR");
+    return folder && *folder ? std::string(folder) + "/marblewood.handover" : "";
+}
+
+Predecessor::Predecessor(const std::string &path) {
+    if (!path.empty())
+        inheritance_ = net::handover::inherit(path);
+}
+
+void Predecessor::continue_clock(core::Clock &clock) const {
+    if (!inheritance_)
+        return;
+    const Json::Value &now = std::as_const(inheritance_->state)["now_us"];
+    if (now.isInt64() && now.asInt64() > 0)
+        clock.continue_from(now.asInt64());
+}
+
+net::Descriptor Predecessor::take_socket(const std::string &name) {
+    if (!is_present())
+        return net::Descriptor();
+    const auto found = inheritance_->sockets.find(name);
+    return found == inheritance_->sockets.end() ? net::Descriptor() : std::move(found->second);
+}
+
+void Predecessor::restore(net::EndpointRegistry &endpoints, QuiesceState &quiesce, const core::Clock &clock) {
+    if (!inheritance_)
+        return;
+    try {
+        const Json::Value &state = inheritance_->state;
+        endpoints.inherit(config::need(state, "fleet"));
+        quiesce.active = config::flag_or(state, "quiesced", false);
+        quiesce.since = clock.now() - config::integer_or(state, "quiesced_us", 0);
+    } catch (const config::Error &error) {
+        core::log("handover_state_rejected error=\"{}\"", error.what());
+        inheritance_->channel = net::Descriptor();
+    }
+}
+
+int Predecessor::client_count() const {
+    return static_cast<int>(config::integer_or(inheritance_->state, "clients", 0));
+}
+
+} // namespace marblewood::app
--- a/src/core/backoff.hpp
+++ b/src/core/backoff.hpp
@@ -1,29 +1,37 @@
-// Exponential backoff with jitter: how long to wait before each further call of something that fails. Seeded,
-// so that many callers don't act in step and a run can be repeated.
+/// \file
+/// Exponential backoff with jitter.
 #pragma once
 
-#include "marblewood/scheduler.hpp"
+#include "marblewood/types.hpp"
 
 #include <algorithm>
 #include <random>
 
 namespace marblewood::core {
 
+/// How long to wait before each further call of something that fails. Seeded, so that many callers don't act
+/// in step and a run can be repeated. All spans are in us.
 class Backoff {
 public:
-    Backoff(Micros least, Micros most, std::uint64_t seed) : least_(least), most_(most), random_(seed) {}
-    // Twice the last one, `most` at the longest; of that a part drawn from its upper half.
+    Backoff(Micros initial, Micros maximum, std::uint64_t seed)
+        : initial_(initial), maximum_(maximum), random_(seed) {}
+
+    /// Doubles the wait, from `initial` to `maximum`, and returns it less a random part of up to its half.
     Micros next() {
-        wait_ = std::clamp(2 * wait_, least_, most_);
-        return wait_ - part(wait_ / 2);
+        wait_ = std::clamp(2 * wait_, initial_, maximum_);
+        return wait_ - jitter(wait_ / 2);
     }
+    /// To be called after a success.
     void reset() { wait_ = 0; }
-    Micros part(Micros most) { // drawn from 0 to `most`
-        return most > 0 ? static_cast<Micros>(random_() % static_cast<std::uint64_t>(most + 1)) : 0;
+    /// A random span from 0 to `maximum`, both included.
+    Micros jitter(Micros maximum) {
+        return maximum > 0 ? static_cast<Micros>(random_() % static_cast<std::uint64_t>(maximum + 1)) : 0;
     }
 
 private:
-    Micros least_, most_, wait_ = 0;
+    Micros initial_;
+    Micros maximum_;
+    Micros wait_ = 0; // the last one, before its jitter
     std::mt19937_64 random_;
 };
 
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,23 +1,36 @@
-// All deadlines of the program in one sorted structure, swept at each turn of its single timer.
+/// \file
+/// All timers of the program, kept in one sorted map and driven by a single asio timer.
 #pragma once
 
 #include "core/clock.hpp"
 
+#include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <cstdint>
 #include <functional>
 #include <map>
+#include <utility>
 
 namespace marblewood::core {
 
+/// Calls actions when they are due. Used on the loop's thread alone, which also calls the actions; an action
+/// may add and remove entries. Entries must not outlive their Deadlines.
 class Deadlines {
+    /// Entries with the same time are due in the order in which they were added.
+    struct Key {
+        Micros due = 0; // Unix time in us
+        std::uint64_t sequence = 0;
+        auto operator<=>(const Key &) const = default;
+    };
+
 public:
     using Action = std::function<void()>;
-    // Takes its entry out when it goes.
+
+    /// Owns one scheduled action; its destruction or reset() cancels the action.
     class Entry {
     public:
         Entry() = default;
-        Entry(Deadlines &owner, std::pair<Micros, std::uint64_t> key) : owner_(&owner), key_(key) {}
         Entry(Entry &&other) noexcept : owner_(std::exchange(other.owner_, nullptr)), key_(other.key_) {}
         Entry &operator=(Entry &&other) noexcept {
             reset();
@@ -26,6 +39,7 @@
             return *this;
         }
         ~Entry() { reset(); }
+
         void reset() {
             if (owner_)
                 owner_->entries_.erase(key_);
@@ -33,51 +47,58 @@
         }
 
     private:
+        friend class Deadlines;
+        Entry(Deadlines &owner, Key key) : owner_(&owner), key_(key) {}
+
         Deadlines *owner_ = nullptr;
-        std::pair<Micros, std::uint64_t> key_;
+        Key key_;
     };
 
     Deadlines(boost::asio::io_context &io, const Clock &time) : clock(time), timer_(io) {}
 
-    [[nodiscard]] Entry at(Micros when, Action action) {
-        const std::pair key{when, ++last_};
+    /// Calls `action` at `due` (Unix time in us), or soon if that has passed; never within this call.
+    [[nodiscard]] Entry at(Micros due, Action action) {
+        const Key key{due, ++last_sequence_};
         entries_.emplace(key, std::move(action));
         arm();
         return {*this, key};
     }
+    /// Calls `action` after `delay` us.
     [[nodiscard]] Entry in(Micros delay, Action action) { return at(clock.now() + delay, std::move(action)); }
 
     const Clock &clock;
 
 private:
+    static constexpr Micros kNever = INT64_MAX;
+
     void arm() {
-        if (sweeping_ || entries_.empty() || entries_.begin()->first.first >= armed_)
+        if (running_actions_ || entries_.empty() || entries_.begin()->first.due >= armed_for_)
             return;
-        armed_ = entries_.begin()->first.first;
-        timer_.expires_after(std::chrono::microseconds(std::max<Micros>(armed_ - clock.now(), 0)));
+        armed_for_ = entries_.begin()->first.due;
+        timer_.expires_after(std::chrono::microseconds(std::max<Micros>(armed_for_ - clock.now(), 0)));
         timer_.async_wait([this](const boost::system::error_code &error) {
             if (!error)
-                sweep();
+                run_due_actions();
         });
     }
-    void sweep() {
-        armed_ = INT64_MAX;
-        sweeping_ = true;
-        const std::pair until{clock.now(), last_}; // what an action adds waits for the next turn
-        while (!entries_.empty() && entries_.begin()->first <= until) {
+    void run_due_actions() {
+        armed_for_ = kNever;
+        running_actions_ = true;
+        const Key last_due{clock.now(), last_sequence_}; // what an action adds waits for the next run
+        while (!entries_.empty() && entries_.begin()->first <= last_due) {
             const Action action = std::move(entries_.begin()->second);
             entries_.erase(entries_.begin());
             action();
         }
-        sweeping_ = false;
+        running_actions_ = false;
         arm();
     }
 
     boost::asio::steady_timer timer_;
-    std::map<std::pair<Micros, std::uint64_t>, Action> entries_;
-    std::uint64_t last_ = 0;
-    Micros armed_ = INT64_MAX;
-    bool sweeping_ = false;
+    std::map<Key, Action> entries_;
+    std::uint64_t last_sequence_ = 0;
+    Micros armed_for_ = kNever;
+    bool running_actions_ = false;
 };
 
 } // namespace marblewood::core
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -1,7 +1,7 @@
 #include "core/request_dispatcher.hpp"
 
+#include <algorithm>
 #include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
 
 namespace marblewood::core {
 
@@ -9,251 +9,291 @@
 
 namespace {
 
-// What a coroutine of ours lets out is a fault of the program: it must be seen, not swallowed.
-void report(const std::exception_ptr &error) {
+/// Completion handler of coroutines: lets an exception end the program instead of swallowing it.
+void rethrow(const std::exception_ptr &error) {
     if (error)
         std::rethrow_exception(error);
 }
 
 } // namespace
 
-RequestDispatcher::RequestDispatcher(asio::any_io_executor executor, Deadlines &deadlines, Memory &memory,
-                                     Figures &figures, const Settings &settings, NodePort &port,
-                                     DispatcherCallbacks surroundings, Observer *observer)
-    : executor_(std::move(executor)), deadlines_(deadlines), memory_(memory), figures_(figures),
-      settings_(settings), port_(port), callbacks_(std::move(surroundings)), observer_(observer),
+RequestDispatcher::RequestDispatcher(asio::any_io_executor executor, Deadlines &deadlines,
+                                     MemoryBudget &memory, Metrics &metrics, const Settings &settings,
+                                     NodePort &port, DispatcherCallbacks callbacks, RequestObserver *observer)
+    : executor_(std::move(executor)), deadlines_(deadlines), memory_(memory), metrics_(metrics),
+      settings_(settings), port_(port), callbacks_(std::move(callbacks)), observer_(observer),
       request_log_(deadlines.clock), scheduler_(settings) {}
 
-RequestId RequestDispatcher::submit(std::shared_ptr<const Request> request, Answer answer,
-                                    std::function<void()> over) {
-    const RequestId id{next_id_++};
-    auto life = std::make_shared<Life>(executor_, memory_, id, std::move(request), std::move(answer),
-                                       std::move(over));
-    ++answers_;
-    // No room to hold it, or no time to answer it: nothing has run, and the client learns so at once.
-    if (memory_.full() || life->request->refuse_at_once) {
-        const bool closing =
-            life->request->refuse_at_once; // it may come again at once, on another connection
-        if (closing)
-            ++figures_.refused_closing, ++figures_.unsent;
-        finish(*life, {Outcome::Kind::Refused, {}, closing ? 0 : settings_.max_retry_after, true});
-        if (life->over)
-            life->over();
+RequestId RequestDispatcher::submit(std::shared_ptr<const Request> request, CompletionCallback on_complete,
+                                    ReleaseCallback on_released) {
+    const RequestId id{next_request_++};
+    auto in_flight = std::make_shared<InFlightRequest>(executor_, memory_, id, std::move(request),
+                                                       std::move(on_complete), std::move(on_released));
+    ++unanswered_;
+    if (memory_.is_exhausted() || in_flight->request->refuse_immediately) {
+        refuse_immediately(*in_flight);
         return id;
     }
-    lives_.emplace(static_cast<std::uint64_t>(id), life);
-    asio::co_spawn(executor_, live(std::move(life)), report);
+    requests_.emplace(id, in_flight);
+    asio::co_spawn(executor_, run_request(std::move(in_flight)), rethrow);
     return id;
 }
 
-// One request's life.
-asio::awaitable<void> RequestDispatcher::live(std::shared_ptr<Life> life) {
-    // It arrives. What the network and this process have eaten of the client's time is gone.
-    RequestArrived arrived = life->request->facts;
-    arrived.id = life->id;
-    life->until = std::min(life->request->sent + life->request->wait, end_by_);
-    arrived.time_left = std::max<Micros>(life->until - deadlines_.clock.now(), 0);
-    tell(arrived);
-
-    // The module says what is done, and learns how it went, until it has no more interest in the request.
-    while (life->answer || life->out > 0 || scheduler_.tracks(life->id)) {
-        Step step = co_await life->steps.take();
-        if (const auto *send = std::get_if<Send>(&step)) {
-            auto out = std::make_shared<Attempt>();
-            out->request = life->request;
-            out->node = send->node;
-            out->started = deadlines_.clock.now();
-            out->expires = send->expires > 0 ? send->expires : life->until;
-            const Micros until = send->start_by > 0 ? std::min(out->expires, send->start_by) : out->expires;
-            out->may_write = [this, life = life.get(), node = out->node, until] {
-                return may_write(*life, node, until);
-            };
-            out->written = [this] { ++figures_.sends; };
-            out->begin = [this, life = life.get(), out = out.get(),
-                          n = static_cast<int>(life->attempts.size())](std::size_t length) {
-                out->stream = std::make_shared<Stream>(executor_, memory_, length);
-                life->steps.put(Began{n});
-            };
-            if (!life->attempts.empty())
-                count_repeat(*life);
-            life->attempts.push_back(std::move(out));
-            ++life->out;
-            asio::co_spawn(executor_, attempt(life, static_cast<int>(life->attempts.size()) - 1), report);
-        } else if (const auto *cancel = std::get_if<Cancel>(&step)) {
-            const auto number = static_cast<std::size_t>(cancel->attempt);
-            if (number < life->attempts.size())
-                life->attempts[number]->stop(Status::Cancelled);
-        } else if (const auto *began = std::get_if<Began>(&step)) { // a long value: passed on as it comes
-            const auto &from = life->attempts[began->attempt];
-            if (!life->answer) {
-                from->stream->abandon();
-                continue;
-            }
-            life->streamed = from;
-            tell(StreamStarted{life->id, began->attempt});
-            std::exchange(life->answer, nullptr)({Outcome::Kind::Served, {}, 0, true, from->stream});
-        } else if (auto *ended = std::get_if<Ended>(&step)) {
-            --life->out;
-            const AttemptResult &result = ended->result;
-            life->ended.push_back(result.status);
-            AttemptEnded event{life->id, ended->attempt, result.status,       0,
-                               false,    result.used,    result.remote_units, result.report};
-            event.latency = deadlines_.clock.now() - life->attempts[event.attempt]->started;
-            if (life->streamed ==
-                life->attempts[event.attempt]) { // what was begun is whole, or will never be
-                const bool whole = life->streamed->stream->whole();
-                if (!whole)
-                    ++figures_.broken;
-                account(*life, {whole ? Outcome::Kind::Served : Outcome::Kind::Failed, {}, 0, true});
-                life->streamed = nullptr;
-            } else if (result.status == Status::Ok) { // the first value served is the answer
-                finish(*life, {Outcome::Kind::Served, std::move(ended->result.value), 0, true});
-            }
-            event.closed = !life->answer;
-            tell(event);
-        } else if (const auto *refuse = std::get_if<Refuse>(&step)) {
-            if (life->attempts.empty() && life->answer)
-                ++figures_.unsent;
-            finish(*life,
-                   {Outcome::Kind::Refused, {}, settings_.retry_after ? refuse->retry_after : 0, true});
-        } else if (std::holds_alternative<Fail>(step)) {
-            const Idempotency idempotency = settings_.classes[life->request->facts.cls].idempotency;
-            finish(*life, {Outcome::Kind::Failed, {}, 0, idempotency == Idempotency::Idempotent});
-        } else if (std::holds_alternative<Withdrawn>(step)) {
-            if (life->answer)
-                ++figures_.withdrawn;
-            tell(AnswerNow{life->id});
-        } else { // the client has left: nobody is there to be answered
-            if (std::exchange(life->answer, nullptr))
-                --answers_;
-            if (life->streamed) {
-                life->streamed->stream->abandon();
-                life->streamed->stop(Status::Cancelled);
-            }
-            tell(ClientDisconnected{life->id});
-        }
+/// The whole way of one request: it is announced to the Scheduler, which decides what is done; each message
+/// is handled in turn until the request is answered and nothing of it is in flight.
+asio::awaitable<void> RequestDispatcher::run_request(RequestPointer request) {
+    announce(*request);
+    while (is_open(*request)) {
+        RequestMessage next = co_await request->messages.take();
+        std::visit([&](auto &message) { on_message(request, message); }, next);
     }
-    lives_.erase(static_cast<std::uint64_t>(life->id));
-    if (life->over)
-        life->over();
+    release(*request);
 }
 
-// One attempt: run by the node port, until its time is up at the latest.
-asio::awaitable<void> RequestDispatcher::attempt(std::shared_ptr<Life> life, int number) {
-    const std::shared_ptr<Attempt> out = life->attempts[number];
-    const auto expiry = deadlines_.at(out->expires, [&out = *out] {
-        if (!out.stream)
-            out.stop(Status::Timeout); // what has begun to come goes on
-    });
-    AttemptResult result = co_await port_.run(out);
-    if (observer_)
-        observer_->attempt_ended(life->id, *out, number, result.status, out->started, deadlines_.clock.now());
-    life->steps.put(Ended{number, std::move(result)});
+/// Nothing of the request has run, so that its client may send it again; over another connection at once if
+/// only this one is about to end.
+void RequestDispatcher::refuse_immediately(InFlightRequest &request) {
+    const bool connection_closing = request.request->refuse_immediately;
+    if (connection_closing) {
+        ++metrics_.refused_closing;
+        ++metrics_.refused_unsent;
+    }
+    const Micros retry_after = connection_closing ? 0 : settings_.max_retry_after;
+    complete(request, {.kind = Outcome::Kind::Refused, .retry_after = retry_after});
+    if (request.on_released)
+        request.on_released();
 }
 
-void RequestDispatcher::count_repeat(const Life &life) {
-    if (life.out > 0)
-        ++figures_.hedges;
-    else
-        ++figures_.repeats[static_cast<std::size_t>(life.ended.back())];
+/// The client's time counts from the arrival of the request: what the network and this process have used of
+/// it is gone.
+void RequestDispatcher::announce(InFlightRequest &request) {
+    request.deadline = std::min(request.request->received_at + request.request->timeout, latest_deadline_);
+    RequestArrived arrival = request.request->arrival;
+    arrival.id = request.id;
+    arrival.time_left = std::max<Micros>(request.deadline - deadlines_.clock.now(), 0);
+    notify_scheduler(arrival);
 }
 
-void RequestDispatcher::finish(Life &life, Outcome outcome) {
-    if (!life.answer)
+bool RequestDispatcher::is_open(const InFlightRequest &request) const {
+    return request.awaits_answer() || request.attempts_in_flight > 0 || scheduler_.tracks(request.id);
+}
+
+void RequestDispatcher::release(InFlightRequest &request) {
+    requests_.erase(request.id);
+    if (request.on_released)
+        request.on_released();
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const Send &send) {
+    const int number = static_cast<int>(request->attempts.size());
+    auto attempt = make_attempt(*request, send);
+    if (number > 0)
+        count_repeated_attempt(*request);
+    request->attempts.push_back(std::move(attempt));
+    ++request->attempts_in_flight;
+    asio::co_spawn(executor_, run_attempt(request, number), rethrow);
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const Cancel &cancel) {
+    const auto number = static_cast<std::size_t>(cancel.attempt);
+    if (number < request->attempts.size())
+        request->attempts[number]->stop(Status::Cancelled);
+}
+
+/// The first long value that begins is the answer; its client reads the rest from the stream.
+void RequestDispatcher::on_message(const RequestPointer &request, const StreamBegan &began) {
+    const auto &attempt = request->attempts[static_cast<std::size_t>(began.attempt)];
+    if (!request->awaits_answer()) {
+        attempt->stream->abandon();
         return;
-    account(life, outcome);
-    std::exchange(life.answer, nullptr)(std::move(outcome));
+    }
+    request->streaming = attempt;
+    notify_scheduler(StreamStarted{request->id, began.attempt});
+    const auto on_complete = std::exchange(request->on_complete, nullptr);
+    on_complete({.kind = Outcome::Kind::Served, .stream = attempt->stream});
+}
+
+/// The first value that a node serves is the answer.
+void RequestDispatcher::on_message(const RequestPointer &request, AttemptFinished &finished) {
+    AttemptResult &result = finished.result;
+    const auto &attempt = request->attempts[static_cast<std::size_t>(finished.attempt)];
+    --request->attempts_in_flight;
+    request->ended.push_back(result.status);
+    const Micros latency = deadlines_.clock.now() - attempt->started_at;
+    if (request->streaming == attempt)
+        finish_stream(*request);
+    else if (result.status == Status::Ok)
+        complete(*request, {.kind = Outcome::Kind::Served, .value = std::move(result.value)});
+    notify_scheduler(AttemptEnded{.id = request->id,
+                                  .attempt = finished.attempt,
+                                  .status = result.status,
+                                  .latency = latency,
+                                  .closed = !request->awaits_answer(),
+                                  .used = result.used,
+                                  .remote_units = result.remote_units,
+                                  .report = result.report});
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const Refuse &refuse) {
+    if (request->attempts.empty() && request->awaits_answer())
+        ++metrics_.refused_unsent;
+    const Micros retry_after = settings_.retry_after ? refuse.retry_after : 0;
+    complete(*request, {.kind = Outcome::Kind::Refused, .retry_after = retry_after});
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const Fail &) {
+    const auto cls = static_cast<std::size_t>(request->request->arrival.cls);
+    const bool retry_safe = settings_.classes[cls].idempotency == Idempotency::Idempotent;
+    complete(*request, {.kind = Outcome::Kind::Failed, .retry_safe = retry_safe});
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const AnswerNow &answer) {
+    if (request->awaits_answer())
+        ++metrics_.answered_early;
+    notify_scheduler(answer);
+}
+
+void RequestDispatcher::on_message(const RequestPointer &request, const ClientDisconnected &disconnected) {
+    if (request->awaits_answer()) {
+        request->on_complete = nullptr;
+        --unanswered_;
+    }
+    if (request->streaming) {
+        request->streaming->stream->abandon();
+        request->streaming->stop(Status::Cancelled);
+    }
+    notify_scheduler(disconnected);
 }
 
-void RequestDispatcher::account(Life &life, const Outcome &outcome) {
-    --answers_;
-    ++figures_.of(life.request->facts.cls, outcome.kind);
-    request_log_.request_ended(*life.request, outcome, life.ended, life.attempts.size());
+std::shared_ptr<Attempt> RequestDispatcher::make_attempt(InFlightRequest &request, const Send &send) {
+    auto attempt = std::make_shared<Attempt>();
+    attempt->request = request.request;
+    attempt->node = send.node;
+    attempt->started_at = deadlines_.clock.now();
+    attempt->expires_at = send.expires > 0 ? send.expires : request.deadline;
+    const Micros write_by =
+        send.start_by > 0 ? std::min(attempt->expires_at, send.start_by) : attempt->expires_at;
+    attempt->may_write = [this, &request, node = send.node, write_by] {
+        return may_write(request, node, write_by);
+    };
+    attempt->on_written = [this] { ++metrics_.attempts_written; };
+    const int number = static_cast<int>(request.attempts.size());
+    attempt->begin_stream = [this, &request, attempt = attempt.get(), number](std::size_t length) {
+        attempt->stream = std::make_shared<Stream>(executor_, memory_, length);
+        request.messages.put(StreamBegan{number});
+    };
+    return attempt;
+}
+
+/// Runs an attempt at its node, until it expires at the latest; one whose value is being streamed goes on.
+asio::awaitable<void> RequestDispatcher::run_attempt(RequestPointer request, int number) {
+    const std::shared_ptr<Attempt> attempt = request->attempts[static_cast<std::size_t>(number)];
+    const auto expiry = deadlines_.at(attempt->expires_at, [&attempt = *attempt] {
+        if (!attempt.stream)
+            attempt.stop(Status::Timeout);
+    });
+    AttemptResult result = co_await port_.run(attempt);
     if (observer_)
-        observer_->request_ended(life.id, *life.request, outcome, deadlines_.clock.now());
+        observer_->attempt_ended(request->id, *attempt, number, result.status, attempt->started_at,
+                                 deadlines_.clock.now());
+    request->messages.put(AttemptFinished{number, std::move(result)});
 }
 
-// Between a Send and its first byte a connection may have to come up. Meanwhile time may run out, the client
-// may leave, the node may drain, and the time in which a repeat is dropped may end; work sent then would be
-// wasted, run twice, or break the rule on drains.
-bool RequestDispatcher::may_write(const Life &life, NodeId node, Micros until) const {
+/// A connection may have to be set up before the first byte. Meanwhile the client may disconnect, time may
+/// run out, the node may begin to drain, and it may stop dropping duplicates: what is written then would be
+/// wasted, or run twice, or reach a draining node.
+bool RequestDispatcher::may_write(const InFlightRequest &request, NodeId node, Micros write_by) const {
     const auto listed = nodes_.find(node);
-    return life.answer && deadlines_.clock.now() < until && listed != nodes_.end() &&
+    return request.awaits_answer() && deadlines_.clock.now() < write_by && listed != nodes_.end() &&
            listed->second == NodeState::Ready;
 }
 
-void RequestDispatcher::client_disconnected(RequestId id) {
-    to_life(id, Left{});
+void RequestDispatcher::count_repeated_attempt(const InFlightRequest &request) {
+    if (request.attempts_in_flight > 0)
+        ++metrics_.hedges;
+    else
+        ++metrics_.retries[static_cast<std::size_t>(request.ended.back())];
+}
+
+/// The attempt whose value was streamed has ended; its client was given the stream as the answer.
+void RequestDispatcher::finish_stream(InFlightRequest &request) {
+    const bool complete = request.streaming->stream->is_complete();
+    if (!complete)
+        ++metrics_.streams_broken;
+    record_completion(request, {.kind = complete ? Outcome::Kind::Served : Outcome::Kind::Failed});
+    request.streaming = nullptr;
 }
-void RequestDispatcher::withdraw(RequestId id) {
-    to_life(id, Withdrawn{});
+
+/// Gives the client its answer, if it still waits for one.
+void RequestDispatcher::complete(InFlightRequest &request, Outcome outcome) {
+    if (!request.awaits_answer())
+        return;
+    record_completion(request, outcome);
+    const auto on_complete = std::exchange(request.on_complete, nullptr);
+    on_complete(std::move(outcome));
+}
+
+void RequestDispatcher::record_completion(const InFlightRequest &request, const Outcome &outcome) {
+    --unanswered_;
+    ++metrics_.completed_as(request.request->arrival.cls, outcome.kind);
+    request_log_.request_ended(*request.request, outcome, request.ended, request.attempts.size());
+    if (observer_)
+        observer_->request_ended(request.id, *request.request, outcome, deadlines_.clock.now());
 }
 
-void RequestDispatcher::list(const ListUpdate &update) {
+void RequestDispatcher::update_endpoints(const ListUpdate &update) {
     if (update.kind != ListUpdate::Kind::Changes)
         nodes_.clear();
-    for (const NodeEntry &entry : update.entries)
+    for (const NodeEntry &entry : update.entries) {
         if (entry.state == NodeState::Gone)
             nodes_.erase(entry.node);
         else
             nodes_[entry.node] = entry.state;
-    tell(update);
-}
-
-asio::awaitable<void> RequestDispatcher::probe(NodeId node) {
-    const Micros from = deadlines_.clock.now();
-    ++figures_.probes;
-    const ProbeResult result = co_await port_.probe(node);
-    tell(ProbeEnded{node, result.status, deadlines_.clock.now() - from, result.report});
+    }
+    notify_scheduler(update);
 }
 
-// The module is not to be entered twice: what happens while it is being told waits its turn.
-void RequestDispatcher::tell(Event event) {
-    events_.push_back(std::move(event));
-    if (telling_)
+/// The Scheduler must not be re-entered: an event that an action causes waits until that action is done.
+void RequestDispatcher::notify_scheduler(Event event) {
+    pending_events_.push_back(std::move(event));
+    if (in_scheduler_)
         return;
-    telling_ = true;
+    in_scheduler_ = true;
     std::vector<Action> actions;
-    while (!events_.empty()) {
-        const Event next = std::move(events_.front());
-        events_.pop_front();
+    while (!pending_events_.empty()) {
+        const Event next = std::move(pending_events_.front());
+        pending_events_.pop_front();
         actions.clear();
         scheduler_.handle(deadlines_.clock.now(), next, actions);
-        for (Action &action : actions)
-            perform(std::move(action));
+        for (const Action &action : actions)
+            std::visit([this](const auto &one) { perform(one); }, action);
     }
-    telling_ = false;
+    in_scheduler_ = false;
 }
 
-void RequestDispatcher::perform(Action action) {
-    if (auto *send = std::get_if<Send>(&action))
-        return to_life(send->id, *send);
-    if (auto *refuse = std::get_if<Refuse>(&action))
-        return to_life(refuse->id, *refuse);
-    if (auto *fail = std::get_if<Fail>(&action))
-        return to_life(fail->id, *fail);
-    if (auto *cancel = std::get_if<Cancel>(&action))
-        return to_life(cancel->id, *cancel);
-    if (const auto *ask = std::get_if<Probe>(&action)) {
-        asio::co_spawn(executor_, probe(ask->node), report);
-    } else if (const auto *close = std::get_if<CloseIdle>(&action)) {
-        port_.close_idle(close->node);
-    } else if (const auto *timer = std::get_if<SetTimer>(&action)) {
-        const auto number = next_timer_++;
-        timers_[number] = deadlines_.in(timer->delay, [this, number, token = timer->token] {
-            timers_.erase(number);
-            tell(TimerDue{token});
-        });
-    } else if (const auto *words = std::get_if<SendPeerMessage>(&action)) {
-        callbacks_.send_peer_message(words->peer, words->data);
-    } else {
-        log("{}", std::get<Log>(action).text);
-    }
+/// A request that is not in flight any more needs no message.
+void RequestDispatcher::post(RequestId id, RequestMessage message) {
+    if (const auto found = requests_.find(id); found != requests_.end())
+        found->second->messages.put(std::move(message));
+}
+
+void RequestDispatcher::perform(const Probe &probe_action) {
+    asio::co_spawn(executor_, probe(probe_action.node), rethrow);
+}
+
+void RequestDispatcher::perform(const SetTimer &timer) {
+    const std::uint64_t number = next_timer_++;
+    timers_[number] = deadlines_.in(timer.delay, [this, number, token = timer.token] {
+        timers_.erase(number);
+        notify_scheduler(TimerDue{token});
+    });
 }
 
-void RequestDispatcher::to_life(RequestId id, Step step) {
-    if (const auto life = lives_.find(static_cast<std::uint64_t>(id)); life != lives_.end())
-        life->second->steps.put(std::move(step));
+asio::awaitable<void> RequestDispatcher::probe(NodeId node) {
+    const Micros started_at = deadlines_.clock.now();
+    ++metrics_.probes;
+    const ProbeResult result = co_await port_.probe(node);
+    notify_scheduler(ProbeEnded{node, result.status, deadlines_.clock.now() - started_at, result.report});
 }
 
 } // namespace marblewood::core
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -1,146 +1,141 @@
-// The dispatcher: owns one Scheduler, its deadlines and its ledger. It tells the module what happens and does
-// what the module says; it decides nothing itself.
+/// \file
+/// Runs requests: tells a Scheduler what happens to them and carries out what it decides.
 #pragma once
 
 #include "core/deadlines.hpp"
-#include "core/figures.hpp"
+#include "core/in_flight_request.hpp"
 #include "core/log.hpp"
-#include "core/mailbox.hpp"
-#include "core/memory.hpp"
+#include "core/memory_budget.hpp"
+#include "core/metrics.hpp"
+#include "core/node_port.hpp"
+#include "core/request_handler.hpp"
 #include "core/request_log.hpp"
-#include "core/types.hpp"
+#include "core/request_observer.hpp"
+#include "marblewood/scheduler.hpp"
 
+#include <cstdint>
+#include <deque>
 #include <map>
-#include <set>
 #include <unordered_map>
 
 namespace marblewood::core {
 
-// What the module asks of the world beside requests; set by whoever wires the program.
+/// Actions of the Scheduler that go beyond requests and nodes; set by the owner of the dispatcher.
 struct DispatcherCallbacks {
-    std::function<void(std::optional<int>, const std::string &)> send_peer_message;
+    /// \param peer index of the receiving host; empty: all.
+    std::function<void(std::optional<int> peer, const std::string &data)> send_peer_message;
 };
 
-// Follows requests and attempts from outside, for telemetry. Called on the loop; must not block.
-class Observer {
+/// Owns one Scheduler, its timers and its requests. It decides nothing itself.
+///
+/// Each request is run by one coroutine, run_request(), which handles the request's messages one at a time:
+/// the Scheduler's actions, the node ports' reports and the front end's calls. What happens is passed to the
+/// Scheduler as an Event; the Actions that it returns become messages again.
+///
+/// Threads: everything runs on the executor's one thread. Errors: an exception from a coroutine ends the
+/// program.
+class RequestDispatcher : public RequestHandler {
 public:
-    virtual ~Observer() = default;
-    virtual void attempt_ended(RequestId id, const Attempt &attempt, int number, Status status, Micros from,
-                               Micros to) = 0;
-    virtual void request_ended(RequestId id, const Request &request, const Outcome &outcome, Micros to) = 0;
-};
+    /// The references and `observer` (may be null) outlive the dispatcher. Throws std::invalid_argument for
+    /// contradictory settings, as the Scheduler does.
+    RequestDispatcher(boost::asio::any_io_executor executor, Deadlines &deadlines, MemoryBudget &memory,
+                      Metrics &metrics, const Settings &settings, NodePort &port,
+                      DispatcherCallbacks callbacks, RequestObserver *observer = nullptr);
 
-// Takes requests from a front.
-class RequestHandler {
-public:
-    using Answer = std::function<void(Outcome)>;
-    virtual ~RequestHandler() = default;
-    // `answer` is called exactly once, unless the client leaves before; `over`, where given, once nothing of
-    // the request is out any more, whoever has been answered.
-    virtual RequestId submit(std::shared_ptr<const Request> request, Answer answer,
-                             std::function<void()> over = nullptr) = 0;
-    virtual void client_disconnected(RequestId id) = 0;
-    // The request gets its final answer soon, whatever time its client has: refused where that is true, else
-    // failed. One whose value is being passed on goes on.
-    virtual void withdraw(RequestId id) = 0;
-};
+    RequestId submit(std::shared_ptr<const Request> request, CompletionCallback on_complete,
+                     ReleaseCallback on_released = nullptr) override;
+    void client_disconnected(RequestId id) override { post(id, ClientDisconnected{id}); }
+    void answer_now(RequestId id) override { post(id, AnswerNow{id}); }
 
-class RequestDispatcher : public RequestHandler {
-public:
-    RequestDispatcher(boost::asio::any_io_executor executor, Deadlines &deadlines, Memory &memory,
-                      Figures &figures, const Settings &settings, NodePort &port,
-                      DispatcherCallbacks surroundings, Observer *observer = nullptr);
-
-    RequestId submit(std::shared_ptr<const Request> request, Answer answer,
-                     std::function<void()> over = nullptr) override;
-    void client_disconnected(RequestId id) override;
-    void withdraw(RequestId id) override;
-    void list(const ListUpdate &update);
-    void peer_message(PeerMessage message) { tell(std::move(message)); }
+    void update_endpoints(const ListUpdate &update);
+    void peer_message(PeerMessage message) { notify_scheduler(std::move(message)); }
+
+    /// The state for a successor; with a volume: its quota alone.
     HandoverState handover_state(std::optional<VolumeId> only = {}) const {
         return scheduler_.handover_state(only);
     }
-    void restore(const HandoverState &state) { tell(state); }
-    void retire(bool on) { tell(DrainForSuccessor{on}); }
-    // The program ends then: a request that is taken from now on has its answer by that time, whatever its
-    // client would wait.
-    void end_by(Micros time) { end_by_ = time; }
-    // Whether the node is on the list, or anything is out there.
+    /// Takes over what handover_state() of a predecessor returned.
+    void restore(const HandoverState &state) { notify_scheduler(state); }
+    /// With `on`, only requests already accepted are still sent; without, the successor has gone.
+    void drain_for_successor(bool on) { notify_scheduler(DrainForSuccessor{on}); }
+
+    /// Requests submitted from now on are answered by `time` (Unix time in us), even if their clients would
+    /// wait longer: the process ends then.
+    void cap_deadlines(Micros time) { latest_deadline_ = time; }
+
+    /// Whether the node is listed or an attempt is in flight there.
     bool knows(NodeId node) const { return scheduler_.concurrency_limit(node).has_value(); }
     bool is_avoided(NodeId node) const { return scheduler_.is_avoided(node); }
     OverloadMetrics overload() const { return scheduler_.overload(); }
-    std::size_t open() const { return answers_; } // requests that still owe an answer
+    /// The number of requests whose clients wait for an answer.
+    std::size_t unanswered() const { return unanswered_; }
 
 private:
-    struct Left {};
-    struct Withdrawn {};
-    struct Began {
-        int attempt;
-    };
-    struct Ended {
-        int attempt;
-        AttemptResult result;
-    };
-    using Step = std::variant<Send, Refuse, Fail, Cancel, Left, Withdrawn, Began, Ended>;
-    struct Life {
-        Life(boost::asio::any_io_executor executor, Memory &memory, RequestId number,
-             std::shared_ptr<const Request> r, Answer a, std::function<void()> o)
-            : id(number), request(std::move(r)), answer(std::move(a)), over(std::move(o)),
-              steps(std::move(executor)), held(memory, request->body.size()) {}
-        RequestId id;
-        std::shared_ptr<const Request> request;
-        Answer answer; // empty once given, or once the client has left
-        std::function<void()> over;
-        std::vector<std::shared_ptr<Attempt>> attempts;
-        std::vector<Status> ended;         // how those that have ended did, in the order of their ends
-        std::shared_ptr<Attempt> streamed; // whose value is being passed on, until that has ended
-        std::size_t out = 0;
-        Micros until = 0; // when its time is up
-        Mailbox<Step> steps;
-        Memory::Share held;
-    };
-
-    boost::asio::awaitable<void> live(std::shared_ptr<Life> life);
-    boost::asio::awaitable<void> attempt(std::shared_ptr<Life> life, int number);
-    boost::asio::awaitable<void> probe(NodeId node);
-    void count_repeat(const Life &life);
-    void finish(Life &life, Outcome outcome);
-    void account(Life &life, const Outcome &outcome);
-    bool may_write(const Life &life, NodeId node, Micros until) const;
+    using RequestPointer = std::shared_ptr<InFlightRequest>;
 
-    void tell(Event event);
-    void perform(Action action);
-    void to_life(RequestId id, Step step);
+    // A request's way, from top to bottom.
+    boost::asio::awaitable<void> run_request(RequestPointer request);
+    void refuse_immediately(InFlightRequest &request);
+    void announce(InFlightRequest &request);
+    bool is_open(const InFlightRequest &request) const;
+    void release(InFlightRequest &request);
+
+    // One step each, by the type of the message.
+    void on_message(const RequestPointer &request, const Send &send);
+    void on_message(const RequestPointer &request, const Cancel &cancel);
+    void on_message(const RequestPointer &request, const StreamBegan &began);
+    void on_message(const RequestPointer &request, AttemptFinished &finished);
+    void on_message(const RequestPointer &request, const Refuse &refuse);
+    void on_message(const RequestPointer &request, const Fail &fail);
+    void on_message(const RequestPointer &request, const AnswerNow &answer);
+    void on_message(const RequestPointer &request, const ClientDisconnected &disconnected);
+
+    std::shared_ptr<Attempt> make_attempt(InFlightRequest &request, const Send &send);
+    boost::asio::awaitable<void> run_attempt(RequestPointer request, int number);
+    bool may_write(const InFlightRequest &request, NodeId node, Micros write_by) const;
+    void count_repeated_attempt(const InFlightRequest &request);
+    void finish_stream(InFlightRequest &request);
+    void complete(InFlightRequest &request, Outcome outcome);
+    void record_completion(const InFlightRequest &request, const Outcome &outcome);
+
+    void notify_scheduler(Event event);
+    void post(RequestId id, RequestMessage message);
+
+    // The Scheduler's actions.
+    void perform(const Send &send) { post(send.id, send); }
+    void perform(const Refuse &refuse) { post(refuse.id, refuse); }
+    void perform(const Fail &fail) { post(fail.id, fail); }
+    void perform(const Cancel &cancel) { post(cancel.id, cancel); }
+    void perform(const Probe &probe);
+    void perform(const CloseIdle &close) { port_.close_idle(close.node); }
+    void perform(const SetTimer &timer);
+    void perform(const SendPeerMessage &message) { callbacks_.send_peer_message(message.peer, message.data); }
+    void perform(const Log &line) { log("{}", line.text); }
+
+    boost::asio::awaitable<void> probe(NodeId node);
 
     boost::asio::any_io_executor executor_;
     Deadlines &deadlines_;
-    Memory &memory_;
-    Figures &figures_;
-    Settings settings_;
+    MemoryBudget &memory_;
+    Metrics &metrics_;
+    const Settings settings_;
     NodePort &port_;
     DispatcherCallbacks callbacks_;
-    Observer *observer_;
+    RequestObserver *observer_;
     RequestLog request_log_;
     Scheduler scheduler_;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Life>> lives_; // the ledger
-    std::map<NodeId, NodeState> nodes_;                              // all that are listed and not gone
+
+    std::unordered_map<RequestId, RequestPointer> requests_; // in flight
+    std::uint64_t next_request_ = 1;
+    std::size_t unanswered_ = 0;
+    Micros latest_deadline_ = INT64_MAX;
+
+    std::map<NodeId, NodeState> nodes_; // all that are listed and not gone
     std::map<std::uint64_t, Deadlines::Entry> timers_;
-    std::deque<Event> events_;
-    bool telling_ = false;
-    std::uint64_t next_id_ = 1, next_timer_ = 1;
-    std::size_t answers_ = 0;
-    Micros end_by_ = INT64_MAX;
-};
+    std::uint64_t next_timer_ = 1;
 
-// Where a front hands its requests: who takes one is the wiring's business.
-struct FrontEndServices {
-    std::function<RequestHandler &(const Request &)> request_handler;
-    std::function<std::uint64_t()> fresh; // a random number, for identifiers
-    const Settings &settings;
-    Deadlines &deadlines;
-    Memory &memory;
-    const bool &away; // clients are sent away: a front says so to those who ask
-    Figures &figures;
+    std::deque<Event> pending_events_;
+    bool in_scheduler_ = false;
 };
 
 } // namespace marblewood::core
--- a/src/core/request_log.cpp
+++ b/src/core/request_log.cpp
@@ -2,35 +2,45 @@
 
 #include "core/log.hpp"
 
+#include <string>
+
 namespace marblewood::core {
+
 namespace {
 
-std::string spell(std::span<const Status> ended, std::size_t begun) {
-    std::string text;
-    for (const Status status : ended)
-        text += fmt::format(" {}", name(status));
-    if (ended.size() < begun)
-        text += fmt::format(" and {} still out", begun - ended.size());
-    return text;
+std::string join_names(std::span<const Status> statuses) {
+    std::string names;
+    for (const Status status : statuses) {
+        if (!names.empty())
+            names += ',';
+        names += name(status);
+    }
+    return names.empty() ? "none" : names;
 }
 
 } // namespace
 
 void RequestLog::request_ended(const Request &request, const Outcome &outcome, std::span<const Status> ended,
-                               std::size_t begun) {
+                               std::size_t attempts_started) {
+    if (outcome.kind == Outcome::Kind::Served)
+        return;
     const bool refused = outcome.kind == Outcome::Kind::Refused;
-    if (outcome.kind == Outcome::Kind::Served || (refused && begun == 0) || !may_write())
+    if (refused && attempts_started == 0)
+        return;
+    if (!allow_line())
         return;
-    log("request {} of client {} {} after {} ms of {}: attempts{}", request.id, request.connection,
-        refused ? "refused" : "failed", (clock_.now() - request.sent) / 1000, request.wait / 1000,
-        begun == 0 ? " none" : spell(ended, begun));
+    constexpr Micros kMillisecond = 1000; // us
+    log("{} request_id={} connection={} elapsed_ms={} timeout_ms={} attempts={} in_flight={}",
+        refused ? "request_refused" : "request_failed", request.id, request.connection_id,
+        (clock_.now() - request.received_at) / kMillisecond, request.timeout / kMillisecond,
+        join_names(ended), attempts_started - ended.size());
 }
 
-bool RequestLog::may_write() {
-    if (!limit_.allows(clock_.now()))
+bool RequestLog::allow_line() {
+    if (!rate_limiter_.allow(clock_.now()))
         return false;
-    if (const auto left_out = limit_.take_left_out(); left_out > 0)
-        log("requests that ended badly: {} lines left out", left_out);
+    if (const auto suppressed = rate_limiter_.take_suppressed(); suppressed > 0)
+        log("request_log_lines_suppressed count={}", suppressed);
     return true;
 }
 
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -1,63 +1,77 @@
-// A long value on its way from a node to a client: the port puts pieces in, the front takes them out. It
-// holds little; when that is full the port waits, and so the node.
+/// \file
+/// Forwards a long value from a node to a client while it is being received.
 #pragma once
 
 #include "core/mailbox.hpp"
-#include "core/memory.hpp"
+#include "core/memory_budget.hpp"
 
+#include <cstddef>
 #include <string>
+#include <utility>
 
 namespace marblewood::core {
 
+/// A bounded buffer with one writer (a node port) and one reader (a front end), both coroutines on the loop's
+/// thread. While the buffer is full the writer waits, and reads no more from the node.
 class Stream {
 public:
-    static constexpr std::size_t kMostKept = 16 * 1024;
-
-    Stream(boost::asio::any_io_executor executor, Memory &memory, std::size_t bytes)
-        : length(bytes), came_(executor), room_(executor), share_(memory) {}
-    const std::size_t length; // of the whole value
-
-    // The port's side. False: nobody takes it any more.
-    boost::asio::awaitable<bool> put(std::string piece) {
-        kept_ += piece;
-        share_.set(kept_.size());
-        wake(came_);
-        while (!abandoned_ && kept_.size() >= kMostKept)
-            co_await room_.take();
+    static constexpr std::size_t kBufferBytes = 16 * 1024;
+
+    /// \param total_bytes length of the whole value.
+    Stream(boost::asio::any_io_executor executor, MemoryBudget &memory, std::size_t total_bytes)
+        : length(total_bytes), data_ready_(executor), space_ready_(executor), reservation_(memory) {}
+
+    const std::size_t length; ///< of the whole value, bytes
+
+    /// Writer: appends `bytes`, then waits while the buffer is full. Returns false if the reader has
+    /// abandoned the stream.
+    boost::asio::awaitable<bool> put(std::string bytes) {
+        buffer_ += bytes;
+        reservation_.resize(buffer_.size());
+        wake(data_ready_);
+        while (!abandoned_ && buffer_.size() >= kBufferBytes)
+            co_await space_ready_.take();
         co_return !abandoned_;
     }
-    void end(bool whole) {
-        if (ended_)
+    /// Writer: no more follows. `complete`: the whole value was put. Only the first call counts.
+    void finish(bool complete) {
+        if (finished_)
             return;
-        ended_ = true;
-        whole_ = whole;
-        wake(came_);
+        finished_ = true;
+        complete_ = complete;
+        wake(data_ready_);
     }
 
-    // The front's side. Empty: that was all, or all that there will be.
+    /// Reader: waits for bytes and takes all that are buffered. Empty: the stream has finished.
     boost::asio::awaitable<std::string> take() {
-        while (kept_.empty() && !ended_)
-            co_await came_.take();
-        std::string piece = std::exchange(kept_, {});
-        share_.set(0);
-        wake(room_);
-        co_return piece;
+        while (buffer_.empty() && !finished_)
+            co_await data_ready_.take();
+        std::string bytes = std::exchange(buffer_, {});
+        reservation_.resize(0);
+        wake(space_ready_);
+        co_return bytes;
     }
-    bool whole() const { return whole_; }
+    /// Whether it has finished with the whole value.
+    bool is_complete() const { return complete_; }
+    /// Reader: the rest is not wanted.
     void abandon() {
         abandoned_ = true;
-        wake(room_);
+        wake(space_ready_);
     }
 
 private:
-    static void wake(Mailbox<bool> &box) {
-        if (box.empty())
-            box.put(true);
+    static void wake(Mailbox<bool> &waiter) {
+        if (waiter.empty())
+            waiter.put(true);
     }
-    Mailbox<bool> came_, room_;
-    std::string kept_;
-    Memory::Share share_;
-    bool ended_ = false, whole_ = false, abandoned_ = false;
+
+    Mailbox<bool> data_ready_;
+    Mailbox<bool> space_ready_;
+    std::string buffer_;
+    MemoryBudget::Reservation reservation_;
+    bool finished_ = false;
+    bool complete_ = false;
+    bool abandoned_ = false;
 };
 
 } // namespace marblewood::core
--- a/src/lab/scale/hollow_broker.hpp
+++ b/src/lab/scale/hollow_broker.hpp
@@ -54,9 +54,9 @@
     const std::string name_;
     config::Names nodes_, zones_;
     net::SocketBudget budget_;
-    core::Memory memory_;
+    core::MemoryBudget memory_;
     const Settings settings_;
-    core::Figures figures_;
+    core::Metrics figures_;
     const net::nvme::Mapping mapping_;
     net::resp::NodePort resp_port_;
     net::nvme::NodePort nvme_port_;
--- a/src/net/cells/residence.cpp
+++ b/src/net/cells/residence.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-Residence::Residence(asio::io_context &io, core::Deadlines &deadlines, core::Memory &memory,
+Residence::Residence(asio::io_context &io, core::Deadlines &deadlines, core::MemoryBudget &memory,
                      SocketBudget &budget, const Settings &settings, Layout layout, std::string name,
                      tcp::acceptor listener, std::uint64_t seed, Usual usual)
     : io_(io), deadlines_(deadlines), memory_(memory), settings_(settings), layout_(std::move(layout)),
@@ -148,7 +148,7 @@
 
 mc::Left Residence::take(VolumeId volume) {
     core::Request any;
-    any.facts.volume = volume;
+    any.arrival.volume = volume;
     core::RequestDispatcher &dispatcher = usual_(any);
     mc::Left left;
     for (const HandoverState::VolumeQuota &s : dispatcher.handover_state(volume).quotas)
@@ -158,12 +158,12 @@
 }
 void Residence::give(VolumeId volume, double limit, double reserve) {
     core::Request any;
-    any.facts.volume = volume;
+    any.arrival.volume = volume;
     usual_(any).restore(HandoverState{INT64_MAX, {{volume, limit, reserve}}, {}});
 }
 
 mc::Asked Residence::asked(const core::Request &r) const {
-    const RequestArrived &f = r.facts;
+    const RequestArrived &f = r.arrival;
     const ClassSettings &cls = settings_.classes[f.cls];
     const PlanSettings &plan = settings_.plans[f.plan];
     mc::Asked a{f.volume,
@@ -172,19 +172,19 @@
                 plan.reserve,
                 cls.priority_weight * plan.priority_factor,
                 plan.limit > 0,
-                r.sent + r.wait,
+                r.received_at + r.timeout,
                 0};
-    if (cls.idempotency == Idempotency::WithKey && !r.repeat_key.empty()) {
-        const std::string both = r.piece + ' ' + r.repeat_key;
+    if (cls.idempotency == Idempotency::WithKey && !r.idempotency_key.empty()) {
+        const std::string both = r.data_key + ' ' + r.idempotency_key;
         a.key = XXH3_64bits(both.data(), both.size());
     }
-    for (const auto &[name, value] : r.extra)
+    for (const auto &[name, value] : r.forwarded_fields)
         if (name == kHops)
             a.hops = std::clamp(number_of<int>(value).value_or(0), 0, mc::Resident::kMostHops);
     return a;
 }
 
-RequestId Residence::submit(std::shared_ptr<const core::Request> request, Answer answer,
+RequestId Residence::submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
                             std::function<void()>) {
     const Id id = ++last_;
     Entry entry;
@@ -208,10 +208,10 @@
         return refuse(id);
     case mc::Route::Kind::Forward: {
         const mc::Cell *const to = resident_.map()->cell_of_broker(way.broker);
-        if (!layout_.forward || !to || memory_.full() || out_[to->name] >= layout_.most_forwarded)
+        if (!layout_.forward || !to || memory_.is_exhausted() || out_[to->name] >= layout_.most_forwarded)
             return refuse(id);
         ++counts_.forwarded;
-        entry.held = std::make_unique<core::Memory::Share>(memory_, entry.request->body.size());
+        entry.held = std::make_unique<core::MemoryBudget::Reservation>(memory_, entry.request->body.size());
         asio::co_spawn(io_, forward(id, way.broker, to->name, entry.request, entry.asked),
                        [](const std::exception_ptr &error) {
                            if (error)
@@ -225,8 +225,8 @@
     Entry &entry = entries_.at(id);
     auto own =
         std::make_shared<core::Request>(*entry.request); // as the map says, and without what brokers added
-    own->facts.hosts = way.hosts;
-    std::erase_if(own->extra, [](const auto &pair) { return pair.first == kHops; });
+    own->arrival.hosts = way.hosts;
+    std::erase_if(own->forwarded_fields, [](const auto &pair) { return pair.first == kHops; });
     entry.request = own;
     entry.held = nullptr; // the dispatcher counts it
     entry.dispatcher = &usual_(*own);
@@ -257,10 +257,10 @@
     Entry &entry = entries_.at(id);
     const Micros now = deadlines_.clock.now();
     const Micros until =
-        entry.request->sent + static_cast<Micros>(kHeld * static_cast<double>(entry.request->wait));
-    if (now >= until || memory_.full() || waiting_ >= static_cast<std::size_t>(layout_.most_waiting))
+        entry.request->received_at + static_cast<Micros>(kHeld * static_cast<double>(entry.request->timeout));
+    if (now >= until || memory_.is_exhausted() || waiting_ >= static_cast<std::size_t>(layout_.most_waiting))
         return refuse(id);
-    entry.held = std::make_unique<core::Memory::Share>(memory_, entry.request->body.size());
+    entry.held = std::make_unique<core::MemoryBudget::Reservation>(memory_, entry.request->body.size());
     ++counts_.waited;
     ++waiting_;
     entry.waits = true;
@@ -295,24 +295,24 @@
     ++out_[cell];
     core::AttemptResult result;
     const auto request = std::make_shared<core::Request>(*asked);
-    std::erase_if(request->extra, [](const auto &pair) { return pair.first == kHops; });
-    request->extra.emplace_back(kHops, std::to_string(about.hops + 1));
+    std::erase_if(request->forwarded_fields, [](const auto &pair) { return pair.first == kHops; });
+    request->forwarded_fields.emplace_back(kHops, std::to_string(about.hops + 1));
     for (int tries = 0; tries < 2; ++tries) {
         const auto attempt = std::make_shared<core::Attempt>();
         attempt->request = request;
         attempt->node = number(broker);
-        attempt->started = deadlines_.clock.now();
-        attempt->expires = request->sent + request->wait;
-        attempt->may_write = [this, id, until = attempt->expires] {
+        attempt->started_at = deadlines_.clock.now();
+        attempt->expires_at = request->received_at + request->timeout;
+        attempt->may_write = [this, id, until = attempt->expires_at] {
             return entries_.contains(id) && deadlines_.clock.now() < until;
         };
-        attempt->written = [] {};
+        attempt->on_written = [] {};
         const auto at = entries_.find(id);
         if (at == entries_.end())
             break;
         at->second.attempt = attempt;
-        const auto expiry =
-            deadlines_.at(attempt->expires - kAnswerSlack, [&out = *attempt] { out.stop(Status::Timeout); });
+        const auto expiry = deadlines_.at(attempt->expires_at - kAnswerSlack,
+                                          [&out = *attempt] { out.stop(Status::Timeout); });
         result = co_await relay_.run(attempt);
         if (result.status != Status::ConnectFailed)
             break;
@@ -323,7 +323,7 @@
         broker = other.broker;
     }
     --out_[cell];
-    const bool safe = settings_.classes[request->facts.cls].idempotency == Idempotency::Idempotent;
+    const bool safe = settings_.classes[request->arrival.cls].idempotency == Idempotency::Idempotent;
     switch (result.status) {
     case Status::Ok:
         finish(id, {core::Outcome::Kind::Served, std::move(result.value), 0, true});
@@ -362,13 +362,13 @@
         e.attempt->stop(Status::Cancelled);
 }
 
-void Residence::withdraw(RequestId number) {
+void Residence::answer_now(RequestId number) {
     const auto at = entries_.find(static_cast<Id>(number));
     if (at == entries_.end())
         return;
     Entry &entry = at->second;
     if (entry.dispatcher)
-        return entry.dispatcher->withdraw(entry.there);
+        return entry.dispatcher->answer_now(entry.there);
     if (entry.attempt)
         return entry.attempt->stop(Status::Cancelled);
     if (std::exchange(entry.waits, false))
--- a/src/net/cells/residence.hpp
+++ b/src/net/cells/residence.hpp
@@ -21,9 +21,9 @@
 
     // `listener` is where keeper and brokers call. Throws std::runtime_error where the state on disk is
     // spoilt.
-    Residence(asio::io_context &io, core::Deadlines &deadlines, core::Memory &memory, SocketBudget &budget,
-              const Settings &settings, Layout layout, std::string name, tcp::acceptor listener,
-              std::uint64_t seed, Usual usual);
+    Residence(asio::io_context &io, core::Deadlines &deadlines, core::MemoryBudget &memory,
+              SocketBudget &budget, const Settings &settings, Layout layout, std::string name,
+              tcp::acceptor listener, std::uint64_t seed, Usual usual);
     // Called whenever the cell's nodes may have changed.
     std::function<void()> confined;
     // Whether a node is of this broker's cell.
@@ -31,10 +31,10 @@
     void ready_nodes(std::size_t count);
     void start();
 
-    RequestId submit(std::shared_ptr<const core::Request> request, Answer answer,
+    RequestId submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
                      std::function<void()> over = nullptr) override;
     void client_disconnected(RequestId id) override;
-    void withdraw(RequestId id) override;
+    void answer_now(RequestId id) override;
 
     // An operator's call, answered by the keeper; empty: it does not answer.
     asio::awaitable<std::optional<link::Reply>> ask_keeper(std::string what, std::string body);
@@ -45,14 +45,14 @@
 private:
     struct Entry {
         std::shared_ptr<const core::Request> request;
-        Answer answer;
+        CompletionCallback answer;
         marblewood::cells::Asked asked;
         core::RequestDispatcher *dispatcher = nullptr; // Serve
         RequestId there{};
         std::shared_ptr<core::Attempt> attempt; // Forward
         bool waits = false;
         core::Deadlines::Entry patience;
-        std::unique_ptr<core::Memory::Share> held; // Forward, Wait: its body
+        std::unique_ptr<core::MemoryBudget::Reservation> held; // Forward, Wait: its body
     };
     using Id = std::uint64_t;
 
@@ -75,7 +75,7 @@
 
     asio::io_context &io_;
     core::Deadlines &deadlines_;
-    core::Memory &memory_;
+    core::MemoryBudget &memory_;
     const Settings &settings_;
     const Layout layout_;
     Usual usual_;
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -264,13 +264,13 @@
     const bool told = client.closing.since != 0 && (took >= kSlowToClose || quiesced_ || done_);
     if (!told && client.dropped_before_shutdown == 0)
         return;
-    if (!ended_lines_.allows(now))
+    if (!ended_lines_.allow(now))
         return;
     core::log("client {} ended after {} ms, {} ms after it was to ({}); requests read meanwhile: {}, "
               "has asked: {}; bytes dropped before its shutdown: {}, after it: {}; lines left out: {}",
               client.id, (now - client.use().accepted) / 1000, client.closing.since == 0 ? 0 : took / 1000,
               name(*client.reason), client.asked_since, client.use().asked, client.dropped_before_shutdown,
-              client.dropped_after_shutdown, ended_lines_.take_left_out());
+              client.dropped_after_shutdown, ended_lines_.take_suppressed());
 }
 
 void Clients::report_closing(std::string_view cause) {
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -1,8 +1,8 @@
 // Accepts clients, within the budget of sockets, and lets them go at the end.
 #pragma once
 
-#include "core/line_limit.hpp"
 #include "core/log.hpp"
+#include "core/log_rate_limiter.hpp"
 #include "core/mailbox.hpp"
 #include "net/client_figures.hpp"
 #include "net/descriptor.hpp"
@@ -181,7 +181,7 @@
     Micros last_change_ = 0;                 // when a connection last came or ended
     core::Deadlines::Entry look_, away_, report_;
     static constexpr int kEndedLines = 50; // a second
-    core::LineLimit ended_lines_{kEndedLines};
+    core::LogRateLimiter ended_lines_{kEndedLines};
 };
 
 } // namespace marblewood::net
--- a/src/net/control/control.cpp
+++ b/src/net/control/control.cpp
@@ -34,18 +34,19 @@
 
 } // namespace
 
-std::string spell(const core::Figures &figures, const Settings &settings, const State &state) {
+std::string spell(const core::Metrics &figures, const Settings &settings, const State &state) {
     std::string out;
     const auto count = [&out](std::string_view name, std::uint64_t n) {
         out += fmt::format("balancer.{}:{}|c\n", name, n);
     };
     constexpr const char *kKinds[] = {"answered", "deferred", "errored"};
-    for (std::size_t cls = 0; cls < figures.ended.size(); ++cls)
+    for (std::size_t cls = 0; cls < figures.completed.size(); ++cls)
         for (std::size_t kind = 0; kind < 3; ++kind)
-            count(fmt::format("{}.{}", kKinds[kind], settings.classes[cls].name), figures.ended[cls][kind]);
-    count("sends", figures.sends);
-    count("conf_loaded", figures.loaded);
-    count("conf_invalid", figures.invalid);
+            count(fmt::format("{}.{}", kKinds[kind], settings.classes[cls].name),
+                  figures.completed[cls][kind]);
+    count("sends", figures.attempts_written);
+    count("conf_loaded", figures.reloads);
+    count("conf_invalid", figures.reloads_failed);
     const Costs &c = state.costs;
     for (const auto &[name, n] :
          std::initializer_list<std::pair<const char *, std::uint64_t>>{{"probes", c.probes},
@@ -59,11 +60,11 @@
         count(name, n);
     for (const auto &[name, n] : c.overload)
         count(name, n);
-    for (std::size_t n = 0; n < figures.repeats.size(); ++n)
-        count(fmt::format("repeats_{}", core::kStatusNames[n]), figures.repeats[n]);
+    for (std::size_t n = 0; n < figures.retries.size(); ++n)
+        count(fmt::format("repeats_{}", core::kStatusNames[n]), figures.retries[n]);
     count("hedges", figures.hedges);
     count("refused_closing", figures.refused_closing);
-    count("withdrawn", figures.withdrawn);
+    count("withdrawn", figures.answered_early);
     count("clients_accepted", state.clients.accepted);
     for (std::size_t n = 0; n < state.clients.closed.size(); ++n)
         count(fmt::format("clients_closed_{}", kCloseReasonNames[n]), state.clients.closed[n]);
--- a/src/net/control/control.hpp
+++ b/src/net/control/control.hpp
@@ -2,7 +2,7 @@
 // done.
 #pragma once
 
-#include "core/figures.hpp"
+#include "core/metrics.hpp"
 #include "net/client_figures.hpp"
 #include "net/costs.hpp"
 #include "net/http.hpp"
@@ -18,7 +18,7 @@
     std::size_t clients_open = 0, clients_closing = 0;
 };
 // The figures, a line each, in the form of StatsD.
-std::string spell(const core::Figures &figures, const Settings &settings, const State &state);
+std::string spell(const core::Metrics &figures, const Settings &settings, const State &state);
 
 // What is not set is not found.
 struct Operations {
--- a/src/net/discovery/discovery.cpp
+++ b/src/net/discovery/discovery.cpp
@@ -111,7 +111,7 @@
         if (selector_)
             select_distributor(*watch);
         const bool whole = deadlines_.clock.now() >= watch->whole_from;
-        const Micros wait = whole || watch->unproven ? 0 : kWatch - watch->backoff.part(kSpread);
+        const Micros wait = whole || watch->unproven ? 0 : kWatch - watch->backoff.jitter(kSpread);
         std::string path = target(whole ? std::nullopt : std::optional(revision_), wait);
         const auto reading = co_await call(*watch, std::move(path), wait);
         if (watch->over)
@@ -133,7 +133,7 @@
             continue;
         }
         if (whole && watch->foreign && watch->crowded)
-            watch->whole_from = deadlines_.clock.now() + kWholeAgain / 2 + watch->backoff.part(kWholeAgain);
+            watch->whole_from = deadlines_.clock.now() + kWholeAgain / 2 + watch->backoff.jitter(kWholeAgain);
         close(*watch);
         if (selector_)
             selector_->failed(deadlines_.clock.now());
@@ -165,7 +165,7 @@
     bool over = false;
     Micros length = watch.backoff.next();
     if (watch.crowded && settings_.poll_endpoint_list && !selector_)
-        length = std::max(length, kCrowded + watch.backoff.part(kCrowdedSpread));
+        length = std::max(length, kCrowded + watch.backoff.jitter(kCrowdedSpread));
     const auto entry = deadlines_.in(length, [&] {
         over = true;
         watch.woken.put(true);
--- a/src/net/endpoint_registry.cpp
+++ b/src/net/endpoint_registry.cpp
@@ -19,12 +19,12 @@
         }
     }
     revision_ = reading.revision;
-    tell(endpoints_.lay(reading.update));
+    tell(endpoints_.apply(reading.update));
     // Nodes are replaced for as long as this runs: those that are gone, with nothing out there, are
     // forgotten. One that is out by hand stays so if it is listed again.
     names_.forget_if([&](std::uint32_t number) {
         const NodeId node{number};
-        if (endpoints_.cordoned(node) || endpoints_.listed(node))
+        if (endpoints_.is_cordoned(node) || endpoints_.is_listed(node))
             return false;
         for (const auto &dispatcher : dispatchers_)
             if (dispatcher->knows(node))
@@ -40,7 +40,7 @@
 void EndpointRegistry::tell(ListUpdate update) {
     std::erase_if(update.entries, [&](const NodeEntry &entry) { return !allowed(entry.node); });
     for (const auto &dispatcher : dispatchers_)
-        dispatcher->list(update);
+        dispatcher->update_endpoints(update);
 }
 
 void EndpointRegistry::confine(std::function<bool(const std::string &id)> allows) {
@@ -48,7 +48,7 @@
     ListUpdate all{ListUpdate::Kind::Full, {}};
     for (const auto &[node, entry] : endpoints_.entries()) {
         all.entries.push_back(entry);
-        if (endpoints_.cordoned(node) && entry.state == NodeState::Ready)
+        if (endpoints_.is_cordoned(node) && entry.state == NodeState::Ready)
             all.entries.back().state = NodeState::Draining;
     }
     tell(std::move(all));
@@ -57,14 +57,14 @@
 std::size_t EndpointRegistry::ready() const {
     return static_cast<std::size_t>(
         std::count_if(endpoints_.entries().begin(), endpoints_.entries().end(), [&](const auto &listed) {
-            return listed.second.state == NodeState::Ready && !endpoints_.cordoned(listed.first) &&
+            return listed.second.state == NodeState::Ready && !endpoints_.is_cordoned(listed.first) &&
                    allowed(listed.first);
         }));
 }
 
 std::optional<NodeId> EndpointRegistry::find(const std::string &id) const {
     const auto number = names_.find(id);
-    if (!number || !(endpoints_.listed(NodeId{*number}) || endpoints_.cordoned(NodeId{*number})))
+    if (!number || !(endpoints_.is_listed(NodeId{*number}) || endpoints_.is_cordoned(NodeId{*number})))
         return std::nullopt;
     return NodeId{*number};
 }
@@ -85,7 +85,7 @@
     std::set<NodeId> nodes;
     for (const std::string &id : ids)
         nodes.insert(NodeId{names_.number(id)});
-    tell(endpoints_.cordon_fleet(std::move(nodes)));
+    tell(endpoints_.set_fleet_cordons(std::move(nodes)));
 }
 
 Json::Value EndpointRegistry::state() const {
@@ -106,9 +106,9 @@
         row["up_since_ms"] = static_cast<double>(entry.started) / 1000;
         all["list"]["members"].append(std::move(row));
     }
-    for (const NodeId node : endpoints_.out())
+    for (const NodeId node : endpoints_.cordons())
         all["cordons"].append(name(node));
-    for (const NodeId node : endpoints_.fleet_out())
+    for (const NodeId node : endpoints_.fleet_cordons())
         all["fleet_cordons"].append(name(node));
     for (const auto &dispatcher : dispatchers_) {
         const HandoverState handover = dispatcher->handover_state();
@@ -195,7 +195,7 @@
 
 void EndpointRegistry::retire(bool on) {
     for (const auto &dispatcher : dispatchers_)
-        dispatcher->retire(on);
+        dispatcher->drain_for_successor(on);
     if (!on)
         return;
     for (const auto &[node, entry] : endpoints_.entries())
@@ -212,7 +212,7 @@
 std::size_t EndpointRegistry::open() const {
     std::size_t all = 0;
     for (const auto &dispatcher : dispatchers_)
-        all += dispatcher->open();
+        all += dispatcher->unanswered();
     return all;
 }
 
--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -27,7 +27,7 @@
     if (outcome.kind == core::Outcome::Kind::Served)
         return {};
     if (outcome.kind == core::Outcome::Kind::Failed)
-        return {status::kInternal, 0, !outcome.repeat_safe};
+        return {status::kInternal, 0, !outcome.retry_safe};
     // Refused: nothing has run. The shortest delay that is no shorter than the advice; none without advice.
     Status16 refused{status::kNotReady, 0, false};
     if (outcome.retry_after > 0) {
@@ -255,12 +255,12 @@
         const std::uint64_t piece = ns.first_piece + c.dword<std::uint64_t>(10);
         Working &working = commands_[c.cid()];
         auto r = std::make_shared<core::Request>();
-        r->piece = fmt::format("{:016x}", piece);
-        r->id = fmt::format("{:016x}", services_.fresh());
-        r->connection = client_.id;
-        r->sent = working.sent;
+        r->data_key = fmt::format("{:016x}", piece);
+        r->id = fmt::format("{:016x}", services_.random_number());
+        r->connection_id = client_.id;
+        r->received_at = working.sent;
         r->body = data;
-        RequestArrived &f = r->facts;
+        RequestArrived &f = r->arrival;
         f.write = c.opcode() == op::kWrite;
         f.cls = f.write ? ns.write_class : ns.read_class;
         f.plan = ns.plan;
@@ -269,13 +269,13 @@
         f.shard = ns.shard;
         f.units = ns.units;
         f.hosts = ns.hosts;
-        r->wait = f.write ? ns.write_wait : ns.read_wait;
+        r->timeout = f.write ? ns.write_wait : ns.read_wait;
         // The broker's own repeats bear one key; a host's repeat is a new command with a key of its own.
         if (services_.settings.classes[f.cls].idempotency == Idempotency::WithKey)
-            r->repeat_key = fmt::format("{:016x}", services_.fresh());
+            r->idempotency_key = fmt::format("{:016x}", services_.random_number());
         if (client_.use().closing)
             ++client_.asked_since;
-        r->refuse_at_once = client_.refuses(deadlines_.clock.now());
+        r->refuse_immediately = client_.refuses(deadlines_.clock.now());
         core::RequestHandler &request_handler = services_.request_handler(*r);
         working.request_handler = &request_handler;
         const std::uint64_t serial = working.serial;
@@ -451,7 +451,7 @@
     }
     // A controller ends with its admin queue, and its other queues may have open commands.
     bool may_end() const override { return queue_ != 0 || !controllers_.has_io_queues(controller_); }
-    void withdraw() override {
+    void answer_now() override {
         std::vector<std::pair<core::RequestHandler *, RequestId>> open;
         std::vector<std::uint16_t> without_data;
         for (const auto &[cid, working] : commands_)
@@ -460,7 +460,7 @@
             else
                 without_data.push_back(cid);
         for (const auto &[request_handler, id] : open)
-            request_handler->withdraw(id);
+            request_handler->answer_now(id);
         for (const std::uint16_t cid : without_data)
             complete(cid, {status::kNotReady, 0, false});
     }
--- a/src/net/nvme/node_port.cpp
+++ b/src/net/nvme/node_port.cpp
@@ -509,8 +509,8 @@
     const auto at = associations_.find(attempt->node);
     const core::Request &request = *attempt->request;
     std::uint64_t block = 0;
-    const char *const last = request.piece.data() + request.piece.size();
-    const bool named = std::from_chars(request.piece.data(), last, block, 16).ptr == last;
+    const char *const last = request.data_key.data() + request.data_key.size();
+    const bool named = std::from_chars(request.data_key.data(), last, block, 16).ptr == last;
     if (at == associations_.end() || !named || request.body.size() > block_bytes_) {
         result.status = Status::ConnectFailed; // nothing that this node could be asked
         co_return result;
@@ -522,26 +522,26 @@
     // The association must stand.
     node->want(mail);
     Event event = co_await mail.take();
-    if (!std::holds_alternative<Up>(event) || attempt->stopped) {
+    if (!std::holds_alternative<Up>(event) || attempt->stop_reason) {
         attempt->on_stop = nullptr;
         node->forget(mail);
-        result.status = attempt->broken(false);
+        result.status = attempt->status_when_interrupted(false);
         co_return result;
     }
 
     // One command. It may have run once the last byte that it needs is written: its data's, for a Write.
-    Command command = Command::make(request.facts.write ? op::kWrite : op::kRead, 0, node->nsid());
+    Command command = Command::make(request.arrival.write ? op::kWrite : op::kRead, 0, node->nsid());
     command.set_dword(10, block);
     command.describe_data(static_cast<std::uint32_t>(block_bytes_ + kMetadata), false);
     std::string body;
-    if (request.facts.write) {
+    if (request.arrival.write) {
         body = request.body;
         body.resize(block_bytes_ + kMetadata, '\0');
         set<std::uint64_t>(body, block_bytes_, request.body.size());
     }
     const auto cid = node->issue(
-        mail, command, std::move(body), [attempt] { return !attempt->stopped && attempt->may_write(); },
-        [attempt] { attempt->written(); });
+        mail, command, std::move(body), [attempt] { return !attempt->stop_reason && attempt->may_write(); },
+        [attempt] { attempt->on_written(); });
     if (!cid) {
         attempt->on_stop = nullptr;
         result.status = Status::Superseded; // more out than the queue holds
@@ -552,7 +552,7 @@
     if (const auto *done = std::get_if<Completion>(&event)) {
         result.status = read_status(done->status);
         if (Queue::Out *out = node->find(*cid)) {
-            if (result.status == Status::Ok && !request.facts.write) {
+            if (result.status == Status::Ok && !request.arrival.write) {
                 const std::string &read = out->read;
                 const std::uint64_t length =
                     read.size() == block_bytes_ + kMetadata ? get<std::uint64_t>(read, block_bytes_) : ~0ull;
@@ -566,11 +566,11 @@
         }
         node->finished(*cid);
     } else if (std::holds_alternative<Stop>(event)) {
-        const bool gated = !node->find(*cid) && !attempt->stopped;
-        result.status = gated ? Status::Superseded : attempt->broken(node->was_whole(*cid));
+        const bool gated = !node->find(*cid) && !attempt->stop_reason;
+        result.status = gated ? Status::Superseded : attempt->status_when_interrupted(node->was_whole(*cid));
         node->give_up(*cid);
     } else {
-        result.status = attempt->broken(node->was_whole(*cid));
+        result.status = attempt->status_when_interrupted(node->was_whole(*cid));
     }
     node->forget(mail);
     co_return result;
--- a/src/net/nvme/node_port.hpp
+++ b/src/net/nvme/node_port.hpp
@@ -6,7 +6,8 @@
 #pragma once
 
 #include "core/mailbox.hpp"
-#include "core/types.hpp"
+#include "core/node_port.hpp"
+#include "marblewood/settings.hpp"
 #include "net/nvme/mapping.hpp"
 #include "net/nvme/pdu.hpp"
 #include "net/sockets.hpp"
--- a/src/net/otlp/exporter.cpp
+++ b/src/net/otlp/exporter.cpp
@@ -56,7 +56,7 @@
 
 // Identifiers follow from the request's number, so that an attempt's span finds its request's without a
 // table.
-class Exporter::Watcher : public core::Observer {
+class Exporter::Watcher : public core::RequestObserver {
 public:
     Watcher(Exporter &to, std::uint64_t seed) : to_(to), seed_(seed) {}
     void attempt_ended(RequestId id, const core::Attempt &a, int number, Status status, Micros from,
@@ -71,11 +71,11 @@
     void request_ended(RequestId id, const core::Request &r, const core::Outcome &outcome,
                        Micros until) override {
         const auto kind = static_cast<std::size_t>(outcome.kind);
-        Span span = begin(id, "request", r.sent, until, kind == 2);
+        Span span = begin(id, "request", r.received_at, until, kind == 2);
         span.attributes.append(attribute("marblewood.outcome", kOutcomes[kind]));
-        span.attributes.append(attribute("marblewood.class", to_.settings_.classes[r.facts.cls].name));
-        span.attributes.append(attribute("marblewood.plan", to_.settings_.plans[r.facts.plan].name));
-        const double ms = static_cast<double>(until - r.sent) / 1000;
+        span.attributes.append(attribute("marblewood.class", to_.settings_.classes[r.arrival.cls].name));
+        span.attributes.append(attribute("marblewood.plan", to_.settings_.plans[r.arrival.plan].name));
+        const double ms = static_cast<double>(until - r.received_at) / 1000;
         ++to_.buckets_[std::lower_bound(kBounds.begin(), kBounds.end(), ms) - kBounds.begin()];
         to_.latencies_ += ms;
         to_.add(std::move(span));
@@ -91,13 +91,13 @@
 };
 
 Exporter::Exporter(asio::io_context &io, core::Deadlines &deadlines, Endpoint to, std::string name,
-                   const Settings &settings, const core::Figures &figures, std::uint64_t seed)
+                   const Settings &settings, const core::Metrics &figures, std::uint64_t seed)
     : io_(io), deadlines_(deadlines), to_(std::move(to)), name_(std::move(name)), settings_(settings),
       seed_(seed), born_(deadlines.clock.now()), figures_(figures), socket_(io) {
     asio::co_spawn(io_, work(), asio::detached);
 }
 
-core::Observer &Exporter::observer() {
+core::RequestObserver &Exporter::observer() {
     observers_.push_back(std::make_unique<Watcher>(*this, mix(seed_ + observers_.size())));
     return *observers_.back();
 }
@@ -217,10 +217,10 @@
     for (std::size_t n = 0; n < 3; ++n) {
         Json::Value row;
         point(row);
-        row["asInt"] = std::to_string(figures_.sum(n));
+        row["asInt"] = std::to_string(figures_.total(static_cast<core::Outcome::Kind>(n)));
         row["attributes"].append(attribute("marblewood.outcome", kOutcomes[n]));
         requests["sum"]["dataPoints"].append(row);
-        all += figures_.sum(n);
+        all += figures_.total(static_cast<core::Outcome::Kind>(n));
     }
     latency["name"] = "marblewood.request.duration";
     latency["unit"] = "ms";
--- a/src/net/otlp/exporter.hpp
+++ b/src/net/otlp/exporter.hpp
@@ -21,9 +21,9 @@
 class Exporter {
 public:
     Exporter(asio::io_context &io, core::Deadlines &deadlines, Endpoint to, std::string name,
-             const Settings &settings, const core::Figures &figures, std::uint64_t seed);
+             const Settings &settings, const core::Metrics &figures, std::uint64_t seed);
     // One for each dispatcher, as request numbers are a dispatcher's own.
-    core::Observer &observer();
+    core::RequestObserver &observer();
 
 private:
     struct Span {
@@ -50,11 +50,11 @@
     std::uint64_t seed_;
     Micros born_;
     std::deque<Span> spans_;
-    const core::Figures &figures_;
+    const core::Metrics &figures_;
     std::uint64_t dropped_ = 0;
     std::array<std::uint64_t, 13> buckets_{};
     double latencies_ = 0; // ms, summed
-    std::vector<std::unique_ptr<core::Observer>> observers_;
+    std::vector<std::unique_ptr<core::RequestObserver>> observers_;
     tcp::socket socket_;
 };
 
--- a/src/net/ports.hpp
+++ b/src/net/ports.hpp
@@ -1,7 +1,7 @@
 // Sends each attempt to the port that speaks its node's wire.
 #pragma once
 
-#include "core/types.hpp"
+#include "core/node_port.hpp"
 
 #include <map>
 
--- a/src/net/resp/front.cpp
+++ b/src/net/resp/front.cpp
@@ -118,7 +118,7 @@
                 throw Malformed("expected an array of bulk strings");
         const std::string name = upper(value.elements.front().text);
         if (name == "PING")
-            return say(services_.away ? "-ERR draining\r\n" : "+PONG\r\n");
+            return say(services_.quiesced ? "-ERR draining\r\n" : "+PONG\r\n");
         if (name == "CLIENT" || name == "SELECT")
             return say("+OK\r\n");
         if (name == "QUIT") {
@@ -131,7 +131,7 @@
         try {
             ask(read_request(std::move(value), services_.settings));
         } catch (const Malformed &error) {
-            const std::uint64_t count = ++services_.figures.turned_away;
+            const std::uint64_t count = ++services_.metrics.malformed_requests;
             if ((count & (count - 1)) == 0) // at 1, 2, 4, ...: what it is, without a line for each
                 core::log("a request turned away ({} so far): {}", count, error.what());
             turn_away(error.what());
@@ -142,13 +142,13 @@
         // Its answers could not be told from the other's, and a node takes one for a repeat of the other.
         if (!open_.insert(read.id).second)
             throw Malformed("the id of an open request");
-        read.refuse_at_once = client_.refuses(deadlines_.clock.now());
+        read.refuse_immediately = client_.refuses(deadlines_.clock.now());
         client_.mark_asked();
         if (client_.use().closing)
             ++client_.asked_since;
         useless_ = 0;
-        read.connection = client_.id;
-        read.sent = deadlines_.clock.now(); // its last byte: however slowly it was written
+        read.connection_id = client_.id;
+        read.received_at = deadlines_.clock.now(); // its last byte: however slowly it was written
         auto request = std::make_shared<const core::Request>(std::move(read));
         core::RequestHandler &request_handler = services_.request_handler(*request);
         const std::uint64_t number = slot();
@@ -221,7 +221,7 @@
         }
         if (gone())
             co_return stream->abandon();
-        if (!stream->whole())
+        if (!stream->is_complete())
             co_return client_.close(CloseReason::BrokenValue);
         streaming_ = false;
         slots_.pop_front(), ++first_;
@@ -238,14 +238,14 @@
             }
     }
 
-    void withdraw() override {
+    void answer_now() override {
         std::vector<std::pair<core::RequestHandler *, RequestId>>
             open; // answers may come while they are gone through
         for (const Slot &slot : slots_)
             if (slot.request_handler && !slot.ready)
                 open.emplace_back(slot.request_handler, slot.id);
         for (const auto &[request_handler, id] : open)
-            request_handler->withdraw(id);
+            request_handler->answer_now(id);
     }
     bool passing_on() const override { return streaming_; }
 
@@ -272,10 +272,10 @@
     if (words.size() != (write ? 5u : 4u))
         throw Malformed("wrong number of arguments");
     core::Request r;
-    RequestArrived &f = r.facts;
+    RequestArrived &f = r.arrival;
     f.write = write;
     f.key = DataKey{hex16(words[1].text, "piece")};
-    r.piece = std::move(words[1].text);
+    r.data_key = std::move(words[1].text);
     r.id = std::move(words[2].text);
     if (r.id.empty() || r.id.size() > 64)
         throw Malformed("invalid id");
@@ -297,9 +297,9 @@
             const double ms = number<double>(value, "d");
             if (!(ms >= 0 && ms < 1e9))
                 throw Malformed("invalid d");
-            r.wait = std::llround(ms * 1000);
+            r.timeout = std::llround(ms * 1000);
         } else if (name == "k")
-            r.repeat_key = value;
+            r.idempotency_key = value;
         else if (name == "r")
             f.retry = value == "1";
         else if (name == "volume")
@@ -316,9 +316,9 @@
             if (f.hosts < 1 || f.hosts > 1'000'000)
                 throw Malformed("invalid hosts");
         } else
-            r.extra.emplace_back(name, value);
+            r.forwarded_fields.emplace_back(name, value);
     }
-    if (f.cls < 0 || f.plan < 0 || r.wait <= 0)
+    if (f.cls < 0 || f.plan < 0 || r.timeout <= 0)
         throw Malformed("c, t and d are needed");
     return r;
 }
--- a/src/net/resp/node_port.cpp
+++ b/src/net/resp/node_port.cpp
@@ -56,17 +56,17 @@
 // Reads one answer. A value stands once it is whole, whatever follows it: the rest of its array can't take
 // back what has run, and is not waited for long. Nor is an answer that has begun and does not go on. A long
 // value goes into the attempt's stream as it comes, no faster than that is emptied.
-asio::awaitable<Answer> receive(Wire &wire, core::Deadlines &deadlines, core::Memory &memory,
+asio::awaitable<Answer> receive(Wire &wire, core::Deadlines &deadlines, core::MemoryBudget &memory,
                                 core::Attempt &attempt) {
     Answer answer;
     Reader reader(kMostAnswer);
-    core::Memory::Share held(memory);
+    core::MemoryBudget::Reservation held(memory);
     core::Deadlines::Entry limit;
     while (!answer.value && !answer.spoilt) {
         if (!reader.between() || !wire.in.empty())
             limit = wire.expect_more(deadlines, reader.first() ? kRest : attempt.stream ? kStreamGap : kGap);
-        answer.spoilt =
-            bool(co_await read_more(wire.socket, wire.in, attempt.stream ? core::Stream::kMostKept : kChunk));
+        answer.spoilt = bool(
+            co_await read_more(wire.socket, wire.in, attempt.stream ? core::Stream::kBufferBytes : kChunk));
         std::string_view bytes = wire.in;
         try {
             answer.value = reader.take(bytes);
@@ -75,17 +75,17 @@
             answer.spoilt = true;
         }
         wire.in.erase(0, wire.in.size() - bytes.size());
-        if (const auto length = reader.long_first(); length && !attempt.stream && attempt.begin)
-            attempt.begin(*length);
+        if (const auto length = reader.long_first(); length && !attempt.stream && attempt.begin_stream)
+            attempt.begin_stream(*length);
         if (attempt.stream) {
             limit.reset();
             std::string part = answer.value ? std::move(answer.value->elements.front().text) : reader.part();
             if (!part.empty())
                 answer.spoilt |= !co_await attempt.stream->put(std::move(part));
             if (answer.value || reader.first())
-                attempt.stream->end(true);
+                attempt.stream->finish(true);
         }
-        held.set(wire.in.size() + (attempt.stream ? 0 : reader.kept()));
+        held.resize(wire.in.size() + (attempt.stream ? 0 : reader.kept()));
     }
     if (!answer.value)
         if (const std::string *first = reader.first()) {
@@ -93,7 +93,7 @@
             answer.value->elements.push_back({Value::Kind::Bulk, false, *first, {}});
         }
     if (attempt.stream)
-        attempt.stream->end(false);    // unless it is whole
+        attempt.stream->finish(false); // unless it is whole
     answer.spoilt |= !wire.in.empty(); // what stands behind an answer belongs to nobody
     co_return answer;
 }
@@ -137,7 +137,7 @@
 
 } // namespace
 
-NodePort::NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, core::Memory &memory,
+NodePort::NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, core::MemoryBudget &memory,
                    SocketBudget &budget, const Settings &settings, Peers peers)
     : executor_(executor), deadlines_(deadlines), memory_(memory), settings_(settings), peers_(peers),
       pool_(std::move(executor), deadlines, budget, settings.idle_close) {}
@@ -190,7 +190,7 @@
         attempt.on_stop = [wire = wire.get()] { wire->close(); };
         const bool quiet = co_await settled(*wire);
         attempt.on_stop = nullptr;
-        if (quiet || attempt.stopped)
+        if (quiet || attempt.stop_reason)
             co_return wire;
         wire->close();
     }
@@ -211,10 +211,10 @@
     std::shared_ptr<Wire> wire; // no co_await inside a ?: anywhere: g++ 12 frees its temporaries twice
     if (at != addresses_.end())
         wire = co_await connect(to, *attempt);
-    if (!wire || attempt->stopped) {
+    if (!wire || attempt->stop_reason) {
         if (wire)
             give_back(attempt->node, to, wire);
-        result.status = attempt->broken(false);
+        result.status = attempt->status_when_interrupted(false);
         co_return result;
     }
     if (!attempt->may_write()) {
@@ -230,14 +230,14 @@
     const std::size_t written = co_await write_all(wire->socket, command, error);
     const bool whole = written == command.size();
     if (whole)
-        attempt->written();
+        attempt->on_written();
     Answer answer;
     if (whole)
         answer = co_await receive(*wire, deadlines_, memory_, *attempt);
     attempt->on_stop = nullptr;
     if (!answer.value) {
         wire->close();
-        result.status = attempt->broken(whole);
+        result.status = attempt->status_when_interrupted(whole);
         co_return result;
     }
     const bool good =
@@ -250,21 +250,21 @@
 // The client's command again, but for `d`, which tells how long this broker will wait.
 std::string NodePort::spell(const core::Attempt &attempt) const {
     const core::Request &r = *attempt.request;
-    const RequestArrived &f = r.facts;
-    const Micros left = std::max<Micros>(attempt.expires - deadlines_.clock.now(), 1000);
+    const RequestArrived &f = r.arrival;
+    const Micros left = std::max<Micros>(attempt.expires_at - deadlines_.clock.now(), 1000);
     std::string list = fmt::format("c={},t={},d={}", settings_.classes[f.cls].name,
                                    settings_.plans[f.plan].name, left / 1000);
-    if (!r.repeat_key.empty())
-        list += ",k=" + r.repeat_key;
+    if (!r.idempotency_key.empty())
+        list += ",k=" + r.idempotency_key;
     if (f.retry)
         list += ",r=1";
     list += fmt::format(",volume={:016x},units={},shard={},hosts={}", static_cast<std::uint64_t>(f.volume),
                         f.units, f.shard ? static_cast<std::int64_t>(*f.shard) : -1, f.hosts);
-    for (const auto &[name, value] : r.extra)
+    for (const auto &[name, value] : r.forwarded_fields)
         list += "," + name + "=" + value;
     if (f.write)
-        return command({"OBJ.PUT", r.piece, r.id, list, r.body});
-    return command({"OBJ.GET", r.piece, r.id, list});
+        return command({"OBJ.PUT", r.data_key, r.id, list, r.body});
+    return command({"OBJ.GET", r.data_key, r.id, list});
 }
 
 asio::awaitable<core::ProbeResult> NodePort::probe(NodeId node) {
@@ -290,7 +290,7 @@
     frame.on_stop = nullptr;
     if (!answer.value) {
         wire->close();
-        result.status = frame.broken(!error);
+        result.status = frame.status_when_interrupted(!error);
         co_return result;
     }
     const bool good = answer.value->kind == Value::Kind::Bulk && !answer.value->null;
--- a/src/net/resp/node_port.hpp
+++ b/src/net/resp/node_port.hpp
@@ -1,7 +1,8 @@
 // Runs attempts at nodes that speak RESP2, or at other brokers, which answer as clients are answered.
 #pragma once
 
-#include "core/types.hpp"
+#include "core/node_port.hpp"
+#include "marblewood/settings.hpp"
 #include "net/pool.hpp"
 #include "net/resp/parser.hpp"
 
@@ -10,7 +11,7 @@
 class NodePort : public core::NodePort {
 public:
     enum class Peers { Nodes, Brokers };
-    NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, core::Memory &memory,
+    NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, core::MemoryBudget &memory,
              SocketBudget &budget, const Settings &settings, Peers peers = Peers::Nodes);
     void place(NodeId node, const tcp::endpoint &address);
     void forget(NodeId node); // it is gone, and nothing is out there
@@ -27,7 +28,7 @@
 
     asio::any_io_executor executor_;
     core::Deadlines &deadlines_;
-    core::Memory &memory_;
+    core::MemoryBudget &memory_;
     Settings settings_;
     Peers peers_;
     Pool pool_;
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -56,7 +56,7 @@
         if (client_.use().closing && end_between_requests())
             break;
         arm_patience();
-        if (unread_ && (in_.size() >= kReadAhead || memory_.full())) {
+        if (unread_ && (in_.size() >= kReadAhead || memory_.is_exhausted())) {
             co_await rest(kLook, true);
             if (!hung_up())
                 continue;
@@ -75,7 +75,7 @@
         }
         unread_ = crowded();
         if (unread_)
-            share_.set(held() + out_.size());
+            share_.resize(held() + out_.size());
         else
             handle_received(fresh);
         if (wrong_) {
@@ -178,7 +178,7 @@
     if (client_.use().owed > 0)
         core::log("client {}: {} open requests are withdrawn ({})", client_.id, client_.use().owed,
                   name(*client_.reason));
-    withdraw();
+    answer_now();
     interrupt_read();
     wake();
 }
@@ -238,10 +238,10 @@
     if (in_.empty())
         std::string().swap(in_); // its room, too
     // Many connections with a part of a message each must not add up to more than the machine has.
-    if (begun() && !over_ && memory_.full() && held() > kFreeRein)
+    if (begun() && !over_ && memory_.is_exhausted() && held() > kFreeRein)
         stop_reading(CloseReason::Incomplete, "no room for it");
     client_.set_partial(begun() && !over_);
-    share_.set(held() + out_.size());
+    share_.resize(held() + out_.size());
 }
 
 // What the client is given time for now. One that holds a connection and says nothing, or half of something,
@@ -285,7 +285,7 @@
 void Session::send(std::string_view bytes, std::size_t answers) {
     out_ += bytes;
     out_answers_ += answers;
-    share_.set(held() + out_.size());
+    share_.resize(held() + out_.size());
     if (writing_ || gone_)
         return;
     writing_ = client_.writing = true;
@@ -304,7 +304,7 @@
         self->unwritten_ = false;
         self->client_.settle_answers(answers);
         self->client_.received(self->deadlines_.clock.now());
-        self->share_.set(self->held() + self->out_.size());
+        self->share_.resize(self->held() + self->out_.size());
         // The reader sees it, and tells that the client has gone.
         if (error)
             self->client_.close(CloseReason::ClientDisconnected);
--- a/src/net/session.hpp
+++ b/src/net/session.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core/mailbox.hpp"
-#include "core/memory.hpp"
+#include "core/memory_budget.hpp"
 #include "net/clients.hpp"
 
 #include <boost/asio/cancellation_signal.hpp>
@@ -12,7 +12,7 @@
 
 class Session : public std::enable_shared_from_this<Session> {
 public:
-    Session(Client &client, core::Deadlines &deadlines, core::Memory &memory)
+    Session(Client &client, core::Deadlines &deadlines, core::MemoryBudget &memory)
         : client_(client), deadlines_(deadlines), wake_(client.socket.get_executor()),
           flow_(client.socket.get_executor()), share_(memory), memory_(memory) {}
     virtual ~Session() = default;
@@ -28,7 +28,7 @@
     // What has come of the next message, for another process to go on with; nothing where it can't.
     virtual std::optional<std::string> unfinished() const { return std::nullopt; }
     virtual const char *front() const = 0; // its name between processes
-    virtual void withdraw() = 0; // has all that is open answered now, but for a value that is passed on
+    virtual void answer_now() = 0; // has all that is open answered now, but for a value that is passed on
     virtual bool passing_on() const { return false; } // a long value is on its way to the client
     // Whether its end takes nothing else along; if not, it waits for `client_.notify`.
     virtual bool may_end() const { return true; }
@@ -84,8 +84,8 @@
     bool newer_ = false;     // bytes came after the connection was told to end
     bool shut_down_ = false; // the client has been told the end: nothing more can be answered
     asio::cancellation_signal read_interrupted_;
-    core::Memory::Share share_;
-    core::Memory &memory_;
+    core::MemoryBudget::Reservation share_;
+    core::MemoryBudget &memory_;
     core::Deadlines::Entry patience_, closing_, awaited_, flush_;
 };
 
