--- a/src/admin/statistics.cpp
+++ b/src/admin/statistics.cpp
@@ -21,14 +21,14 @@
     std::string text_;
 };
 
-void put_requests(Writer &out, const core::Figures &figures, const Settings &settings) {
-    for (std::size_t cls = 0; cls < figures.ended.size(); ++cls)
+void put_requests(Writer &out, const core::Metrics &metrics, const Settings &settings) {
+    for (std::size_t cls = 0; cls < metrics.completed.size(); ++cls)
         for (std::size_t kind = 0; kind < kOutcomeNames.size(); ++kind)
             out.count(fmt::format("{}.{}", kOutcomeNames[kind], settings.classes[cls].name),
-                      figures.ended[cls][kind]);
-    out.count("sends", figures.sends);
-    out.count("conf_loaded", figures.loaded);
-    out.count("conf_invalid", figures.invalid);
+                      metrics.completed[cls][kind]);
+    out.count("sends", metrics.attempts_written);
+    out.count("conf_loaded", metrics.reloads);
+    out.count("conf_invalid", metrics.reloads_failed);
 }
 
 void put_costs(Writer &out, const net::Costs &costs) {
@@ -44,12 +44,12 @@
         out.count(name, value);
 }
 
-void put_retries(Writer &out, const core::Figures &figures) {
-    for (std::size_t status = 0; status < figures.repeats.size(); ++status)
-        out.count(fmt::format("repeats_{}", core::kStatusNames[status]), figures.repeats[status]);
-    out.count("hedges", figures.hedges);
-    out.count("refused_closing", figures.refused_closing);
-    out.count("withdrawn", figures.withdrawn);
+void put_retries(Writer &out, const core::Metrics &metrics) {
+    for (std::size_t status = 0; status < metrics.retries.size(); ++status)
+        out.count(fmt::format("repeats_{}", core::kStatusNames[status]), metrics.retries[status]);
+    out.count("hedges", metrics.hedges);
+    out.count("refused_closing", metrics.refused_closing);
+    out.count("withdrawn", metrics.answered_early);
 }
 
 void put_clients(Writer &out, const BrokerStatus &status) {
@@ -64,12 +64,12 @@
 
 } // namespace
 
-std::string format_statistics(const core::Figures &figures, const Settings &settings,
+std::string format_statistics(const core::Metrics &metrics, const Settings &settings,
                               const BrokerStatus &status) {
     Writer out;
-    put_requests(out, figures, settings);
+    put_requests(out, metrics, settings);
     put_costs(out, status.costs);
-    put_retries(out, figures);
+    put_retries(out, metrics);
     put_clients(out, status);
     out.gauge("current", status.open_requests);
     out.gauge("cluster_size", status.nodes);
--- a/src/admin/statistics.hpp
+++ b/src/admin/statistics.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// The broker's figures in the text form of StatsD, as `GET /admin/stats` answers them. Names, order and
-/// types of the figures are fixed: operators' tools read them (tests/fixtures/admin/).
+/// The broker's metrics in the text form of StatsD, as `GET /admin/stats` answers them. Names, order and
+/// types of the metrics are fixed: operators' tools read them (tests/fixtures/admin/).
 #pragma once
 
-#include "core/figures.hpp"
+#include "core/metrics.hpp"
 #include "net/client_figures.hpp"
 #include "net/costs.hpp"
 
@@ -23,7 +23,7 @@
 };
 
 /// One line a figure: "balancer.NAME:VALUE|c" for counts, "|g" for gauges.
-std::string format_statistics(const core::Figures &figures, const Settings &settings,
+std::string format_statistics(const core::Metrics &metrics, const Settings &settings,
                               const BrokerStatus &status);
 
 } // namespace marblewood::admin
--- a/src/app/cell_coordinator.cpp
+++ b/src/app/cell_coordinator.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-int run_cell_coordinator(const std::string &operators, core::HeldSignal &hangup) {
+int run_cell_coordinator(const std::string &operators, core::BlockedSignal &hangup) {
     const net::cells::Layout layout = read_operators_layout(operators);
     asio::io_context io(1);
     core::Clock clock;
@@ -76,7 +76,7 @@
         });
     };
     await_hangup();
-    hangup.release();
+    hangup.unblock();
     asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code &error, int) {
         if (!error)
--- /dev/null
+++ b/src/app/process_handover.cpp
@@ -0,0 +1,96 @@
+#include "app/process_handover.hpp"
+
+#include "core/log.hpp"
+
+#include <unistd.h>
+
+namespace marblewood::app {
+
+ProcessHandover::ProcessHandover(const std::string &path, Parts parts, OperatorActions actions)
+    : parts_(parts), actions_(std::move(actions)) {
+    if (!path.empty())
+        hot_restart_.emplace(parts_.io, parts_.deadlines, path, hooks());
+}
+
+hot_restart::ProcessHooks ProcessHandover::hooks() {
+    hot_restart::ProcessHooks hooks;
+    hooks.release_state = [this] { return release_state(); };
+    hooks.hand_over_clients = [this] { hand_over_clients(); };
+    hooks.resume = [this] { resume(); };
+    hooks.adopt_client = [this](net::Passed client) { parts_.clients.resp().adopt(std::move(client)); };
+    hooks.parent_exited = [this] { share_limits(false, 0); };
+    hooks.set_cordoned = actions_.cordon;
+    hooks.set_quiesced = actions_.quiesce;
+    return hooks;
+}
+
+void ProcessHandover::take_over(Predecessor &predecessor) {
+    share_limits(true, predecessor.client_count());
+    hot_restart_->follow_parent(predecessor.take_channel());
+    core::log("handover_from_predecessor_started");
+}
+
+void ProcessHandover::tell_predecessor_cordon(const std::string &node, bool cordoned) {
+    if (hot_restart_)
+        hot_restart_->forward_cordon(node, cordoned);
+}
+
+void ProcessHandover::tell_predecessor_quiesce(bool active) {
+    if (hot_restart_)
+        hot_restart_->forward_quiesce(active);
+}
+
+/// Accepts no more, and sends only what it has already accepted.
+hot_restart::ParentState ProcessHandover::release_state() {
+    parts_.clients.pause_accepting();
+    if (parts_.peers)
+        parts_.peers->listen(false);
+    hot_restart::ParentState released;
+    released.state = state_for_successor();
+    const auto leave_socket = [&](const char *name, int socket) {
+        released.sockets[name] = net::Descriptor(::dup(socket));
+    };
+    leave_socket("clients", parts_.clients.resp().listener());
+    if (net::Clients *const nvme = parts_.clients.nvme())
+        leave_socket("nvme", nvme->listener());
+    if (parts_.peers)
+        leave_socket("peers", parts_.peers->descriptor());
+    parts_.endpoints.retire(true);
+    share_limits(true, 0);
+    return released;
+}
+
+Json::Value ProcessHandover::state_for_successor() const {
+    const Micros now = parts_.deadlines.clock.now();
+    const auto quiesced_since = parts_.quiesce.active_since();
+    Json::Value state;
+    state["now_us"] = static_cast<Json::Int64>(now);
+    state["quiesced"] = parts_.quiesce.active;
+    state["quiesced_us"] = static_cast<Json::Int64>(quiesced_since ? now - *quiesced_since : 0);
+    state["clients"] = parts_.sockets.clients();
+    state["fleet"] = parts_.endpoints.state();
+    return state;
+}
+
+void ProcessHandover::hand_over_clients() {
+    parts_.clients.resp().hand_over(
+        [this](net::Passed client) { hot_restart_->send_client(std::move(client)); });
+}
+
+/// The successor has gone.
+void ProcessHandover::resume() {
+    parts_.clients.resp().hand_over(nullptr);
+    parts_.endpoints.retire(false);
+    share_limits(false, 0);
+    parts_.clients.resume_accepting();
+    if (parts_.peers)
+        parts_.peers->listen(true);
+}
+
+/// While two processes serve, each has its part of the limits on sockets and memory.
+void ProcessHandover::share_limits(bool shared, int clients_elsewhere) {
+    parts_.sockets.share(shared, clients_elsewhere);
+    parts_.memory.set_shared(shared);
+}
+
+} // namespace marblewood::app
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -134,7 +134,7 @@
 
 asio::awaitable<DiscoveryClient::CallResult> DiscoveryClient::poll(Watch &watch, bool complete) {
     const bool answered_at_once = complete || watch.state == WatchState::Unverified;
-    const Micros timeout = answered_at_once ? 0 : kMaxPollTime - watch.backoff.part(kPollTimeSpread);
+    const Micros timeout = answered_at_once ? 0 : kMaxPollTime - watch.backoff.jitter(kPollTimeSpread);
     const std::string target = request_target(complete ? std::nullopt : std::optional(revision_), timeout);
     co_return co_await call(watch, target, timeout);
 }
@@ -181,7 +181,7 @@
 asio::awaitable<void> DiscoveryClient::recover(Watch &watch, CallStatus status, bool complete) {
     if (complete && watch.other_revisions && status == CallStatus::Overloaded)
         watch.complete_list_from =
-            deadlines_.clock.now() + kCompleteListRetry / 2 + watch.backoff.part(kCompleteListRetry);
+            deadlines_.clock.now() + kCompleteListRetry / 2 + watch.backoff.jitter(kCompleteListRetry);
     close(watch);
     if (selector_)
         selector_->failed(deadlines_.clock.now());
@@ -192,7 +192,7 @@
     Micros length = watch.backoff.next();
     const bool shared = options_.source == SourceKind::SharedService;
     if (status == CallStatus::Overloaded && shared && !selector_)
-        length = std::max(length, kOverloadBackoff + watch.backoff.part(kOverloadBackoffSpread));
+        length = std::max(length, kOverloadBackoff + watch.backoff.jitter(kOverloadBackoffSpread));
     bool over = false;
     const auto timer = deadlines_.in(length, [&] {
         over = true;
--- a/src/net/cells/cell_router.cpp
+++ b/src/net/cells/cell_router.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-CellRouter::CellRouter(asio::io_context &io, core::Deadlines &deadlines, core::Memory &memory,
+CellRouter::CellRouter(asio::io_context &io, core::Deadlines &deadlines, core::MemoryBudget &memory,
                        SocketBudget &budget, const Settings &settings, Layout layout, const std::string &name,
                        tcp::acceptor listener, std::uint64_t seed, DispatcherSelector select_dispatcher)
     : io_(io), deadlines_(deadlines), memory_(memory), settings_(settings), layout_(std::move(layout)),
@@ -130,7 +130,7 @@
 
 core::RequestDispatcher &CellRouter::dispatcher_of(VolumeId volume) const {
     core::Request any;
-    any.facts.volume = volume;
+    any.arrival.volume = volume;
     return select_dispatcher_(any);
 }
 
--- a/src/net/cells/cell_router.hpp
+++ b/src/net/cells/cell_router.hpp
@@ -21,9 +21,9 @@
     /// \param name this broker's, as the layout names it.
     /// \param listener where the coordinator and other brokers connect.
     /// \throws std::runtime_error if the state on disk cannot be read.
-    CellRouter(asio::io_context &io, core::Deadlines &deadlines, core::Memory &memory, SocketBudget &budget,
-               const Settings &settings, Layout layout, const std::string &name, tcp::acceptor listener,
-               std::uint64_t seed, DispatcherSelector select_dispatcher);
+    CellRouter(asio::io_context &io, core::Deadlines &deadlines, core::MemoryBudget &memory,
+               SocketBudget &budget, const Settings &settings, Layout layout, const std::string &name,
+               tcp::acceptor listener, std::uint64_t seed, DispatcherSelector select_dispatcher);
 
     /// Called whenever the nodes of the cell may have changed.
     std::function<void()> on_nodes_changed;
@@ -33,10 +33,10 @@
     /// Takes over the map that was on disk and begins to send heartbeats.
     void start();
 
-    RequestId submit(std::shared_ptr<const core::Request> request, Answer answer,
+    RequestId submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
                      std::function<void()> over = nullptr) override;
     void client_disconnected(RequestId id) override;
-    void withdraw(RequestId id) override;
+    void answer_now(RequestId id) override;
 
     /// Passes an operator's call on to the coordinator; nothing if it does not reply in time.
     asio::awaitable<std::optional<link::OperatorReply>> call_coordinator(std::string name, std::string body);
@@ -49,14 +49,14 @@
     using Id = std::uint64_t;
     struct PendingRequest {
         std::shared_ptr<const core::Request> request;
-        Answer answer;
+        CompletionCallback answer;
         marblewood::cells::RoutingRequest routing;
         core::RequestDispatcher *dispatcher = nullptr; ///< Served here.
         RequestId dispatched_id{};
         std::shared_ptr<core::Attempt> attempt; ///< Forwarded.
         bool waiting = false;                   ///< For a migration.
         core::Deadlines::Entry wait_timeout;
-        std::unique_ptr<core::Memory::Share> body_memory; ///< Forwarded or waiting.
+        std::unique_ptr<core::MemoryBudget::Reservation> body_memory; ///< Forwarded or waiting.
     };
     struct Counters { // since the start
         std::uint64_t forwarded = 0;
@@ -97,7 +97,7 @@
 
     asio::io_context &io_;
     core::Deadlines &deadlines_;
-    core::Memory &memory_;
+    core::MemoryBudget &memory_;
     const Settings &settings_;
     const Layout layout_;
     DispatcherSelector select_dispatcher_;
--- a/src/net/cells/cell_router_requests.cpp
+++ b/src/net/cells/cell_router_requests.cpp
@@ -30,19 +30,19 @@
 }
 
 void remove_hops(core::Request &request) {
-    std::erase_if(request.extra, [](const auto &field) { return field.first == kHopsField; });
+    std::erase_if(request.forwarded_fields, [](const auto &field) { return field.first == kHopsField; });
 }
 
 /// The deduplication scope of a key is the piece of data.
 std::uint64_t idempotency_hash(const core::Request &request) {
-    const std::string scoped_key = request.piece + ' ' + request.repeat_key;
+    const std::string scoped_key = request.data_key + ' ' + request.idempotency_key;
     return XXH3_64bits(scoped_key.data(), scoped_key.size());
 }
 
 } // namespace
 
 mc::RoutingRequest CellRouter::routing_request(const core::Request &request) const {
-    const RequestArrived &facts = request.facts;
+    const RequestArrived &facts = request.arrival;
     const ClassSettings &cls = settings_.classes[facts.cls];
     const PlanSettings &plan = settings_.plans[facts.plan];
     mc::RoutingRequest routing;
@@ -51,16 +51,16 @@
     routing.reserve_rate = plan.reserve;
     routing.priority_weight = cls.priority_weight * plan.priority_factor;
     routing.limited = plan.limit > 0;
-    routing.deadline = request.sent + request.wait;
-    if (cls.idempotency == Idempotency::WithKey && !request.repeat_key.empty())
+    routing.deadline = request.received_at + request.timeout;
+    if (cls.idempotency == Idempotency::WithKey && !request.idempotency_key.empty())
         routing.idempotency_key = idempotency_hash(request);
-    for (const auto &[name, value] : request.extra)
+    for (const auto &[name, value] : request.forwarded_fields)
         if (name == kHopsField)
             routing.hops = parse_hops(value);
     return routing;
 }
 
-RequestId CellRouter::submit(std::shared_ptr<const core::Request> request, Answer answer,
+RequestId CellRouter::submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
                              std::function<void()>) {
     const Id id = ++last_id_;
     PendingRequest pending;
@@ -89,7 +89,7 @@
 void CellRouter::serve(Id id, const mc::RoutingDecision &decision) {
     PendingRequest &pending = pending_.at(id);
     auto request = std::make_shared<core::Request>(*pending.request);
-    request->facts.hosts = decision.serving_brokers;
+    request->arrival.hosts = decision.serving_brokers;
     remove_hops(*request);
     pending.request = request;
     pending.body_memory = nullptr; // the dispatcher counts it
@@ -122,13 +122,14 @@
 
 void CellRouter::start_forwarding(Id id, const std::string &broker) {
     const mc::Cell *const cell = member_.map()->cell_of_broker(broker);
-    const bool allowed = layout_.forwarding_enabled && cell && !memory_.full() &&
+    const bool allowed = layout_.forwarding_enabled && cell && !memory_.is_exhausted() &&
                          forwarded_by_cell_[cell->name] < layout_.max_forwarded_per_cell;
     if (!allowed)
         return reject(id);
     ++counters_.forwarded;
     PendingRequest &pending = pending_.at(id);
-    pending.body_memory = std::make_unique<core::Memory::Share>(memory_, pending.request->body.size());
+    pending.body_memory =
+        std::make_unique<core::MemoryBudget::Reservation>(memory_, pending.request->body.size());
     asio::co_spawn(io_, forward(id, broker, cell->name, pending.request, pending.routing),
                    [](const std::exception_ptr &error) {
                        if (error)
@@ -139,12 +140,12 @@
 void CellRouter::wait_for_migration(Id id) {
     PendingRequest &pending = pending_.at(id);
     const core::Request &request = *pending.request;
-    const Micros longest_wait = static_cast<Micros>(kMaxWaitFraction * static_cast<double>(request.wait));
-    const Micros until = request.sent + longest_wait;
+    const Micros longest_wait = static_cast<Micros>(kMaxWaitFraction * static_cast<double>(request.timeout));
+    const Micros until = request.received_at + longest_wait;
     const bool queue_full = waiting_ >= static_cast<std::size_t>(layout_.max_waiting);
-    if (deadlines_.clock.now() >= until || memory_.full() || queue_full)
+    if (deadlines_.clock.now() >= until || memory_.is_exhausted() || queue_full)
         return reject(id);
-    pending.body_memory = std::make_unique<core::Memory::Share>(memory_, request.body.size());
+    pending.body_memory = std::make_unique<core::MemoryBudget::Reservation>(memory_, request.body.size());
     pending.waiting = true;
     ++waiting_;
     ++counters_.waited;
@@ -199,7 +200,7 @@
     ++forwarded_by_cell_[cell];
     const auto request = std::make_shared<core::Request>(*received);
     remove_hops(*request);
-    request->extra.emplace_back(kHopsField, std::to_string(routing.hops + 1));
+    request->forwarded_fields.emplace_back(kHopsField, std::to_string(routing.hops + 1));
     core::AttemptResult result;
     for (int attempts = 0; attempts < kMaxForwardAttempts; ++attempts) {
         if (!pending_.contains(id)) // its client has left
@@ -222,14 +223,14 @@
     const auto attempt = std::make_shared<core::Attempt>();
     attempt->request = request;
     attempt->node = node_id_of(broker);
-    attempt->started = deadlines_.clock.now();
-    attempt->expires = request->sent + request->wait;
-    attempt->may_write = [this, id, expires = attempt->expires] {
+    attempt->started_at = deadlines_.clock.now();
+    attempt->expires_at = request->received_at + request->timeout;
+    attempt->may_write = [this, id, expires = attempt->expires_at] {
         return pending_.contains(id) && deadlines_.clock.now() < expires;
     };
-    attempt->written = [] {};
+    attempt->on_written = [] {};
     pending_.at(id).attempt = attempt;
-    const auto timeout = deadlines_.at(attempt->expires - kReplyTransitTime,
+    const auto timeout = deadlines_.at(attempt->expires_at - kReplyTransitTime,
                                        [&running = *attempt] { running.stop(Status::Timeout); });
     co_return co_await broker_port_.run(attempt);
 }
@@ -248,7 +249,7 @@
     case Status::Superseded:
         return reject(id);
     default: {
-        const ClassSettings &cls = settings_.classes[request.facts.cls];
+        const ClassSettings &cls = settings_.classes[request.arrival.cls];
         const bool repeat_safe = cls.idempotency == Idempotency::Idempotent;
         return finish(id, {core::Outcome::Kind::Failed, {}, 0, repeat_safe});
     }
@@ -278,13 +279,13 @@
         pending.attempt->stop(Status::Cancelled);
 }
 
-void CellRouter::withdraw(RequestId id) {
+void CellRouter::answer_now(RequestId id) {
     const auto found = pending_.find(static_cast<Id>(id));
     if (found == pending_.end())
         return;
     PendingRequest &pending = found->second;
     if (pending.dispatcher)
-        return pending.dispatcher->withdraw(pending.dispatched_id);
+        return pending.dispatcher->answer_now(pending.dispatched_id);
     if (pending.attempt)
         return pending.attempt->stop(Status::Cancelled);
     if (pending.waiting)
