--- /dev/null
+++ b/tests/policy/priority_test.cpp
@@ -0,0 +1,25 @@
+#include "test_host.hpp"
+
+namespace marblewood::policy_test {
+namespace {
+
+TEST(Priority, HigherPriorityGoesFirst) {
+    Settings s = basic_settings();
+    s.share_priority_factor = 0.3;
+    s.surplus_priority_factor = 0.05;
+    s.classes[0].priority_weight = 2;
+    s.classes.push_back({300 * kMillisecond, 1500 * kMillisecond, 0.2, 0.1, Idempotency::Idempotent,
+                         DeduplicationScope::All, 0, false, false});
+    TestHost host(s);
+    std::vector<RequestId> first;
+    for (int k = 0; k < 2; ++k)
+        first.push_back(host.ask(0));
+    host.volume = 2;
+    const RequestId cheap = host.ask(0, 2), dear = host.ask(0, 0);
+    host.end(first[0], Status::Ok, 250 * kMillisecond);
+    EXPECT_EQ(host.attempt_count(dear), 1u);
+    EXPECT_EQ(host.attempt_count(cheap), 0u);
+}
+
+} // namespace
+} // namespace marblewood::policy_test
