--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -3,15 +3,15 @@
 namespace marblewood::policy_test {
 namespace {
 
-// Incidents i41b914, i0c3e5b, i4077fd: late and spare work took the nodes that other hosts' reserves needed.
+// Guards against late and surplus work taking the nodes that other hosts' reserves need.
 TEST(Admission, LateWorkWaitsWhileTheNodeIsNotQuiet) {
     TestHost host(basic_settings());
     const RequestId one = host.ask(0), two = host.ask(0);
-    host.end(one, Status::Ok, 240 * kMillisecond); // L = 0.8
+    host.end(one, Status::Ok, 240 * kMillisecond); // mean latency ratio 0.8
     host.end(two, Status::Ok, 240 * kMillisecond);
     host.handle(ListUpdate{ListUpdate::Kind::Changes, {TestHost::entry(0, NodeState::Draining)}});
     const RequestId late = host.ask(0);
-    host.run(350 * kMillisecond); // its aim passes while nothing can be sent
+    host.run(350 * kMillisecond); // its latency objective passes while nothing can be sent
     host.handle(ListUpdate{ListUpdate::Kind::Changes, {TestHost::entry(0)}});
     EXPECT_EQ(host.attempt_count(late), 0u);
     EXPECT_EQ(host.attempt_count(host.ask(0)), 1u);
@@ -30,7 +30,7 @@
         }
         const std::uint64_t spender = host.volume;
         host.volume = 2;
-        host.end(host.ask(0), Status::Ok, latency); // L = 0.67, then 0.1
+        host.end(host.ask(0), Status::Ok, latency); // mean latency ratio 0.67, then 0.1
         host.volume = spender;
         EXPECT_EQ(host.attempt_count(host.ask(0, 0, 4)), latency < 100 * kMillisecond ? 1u : 0u);
         host.volume = 3;
@@ -38,8 +38,7 @@
     }
 }
 
-// Padova-archivio's big-2: reads with a short aim were late at the node behind long exports that could have
-// waited.
+// Guards against requests with a short objective being late behind long ones that could have waited.
 TEST(Admission, PatientWorkLeavesAPlaceToTightWork) {
     Settings s = basic_settings();
     s.classes.push_back({1500 * kMillisecond, 5000 * kMillisecond, 1, 0.1, Idempotency::Idempotent,
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -14,9 +14,10 @@
 TEST(ConcurrencyLimit, FollowsEquationSixOne) {
     TestHost host(basic_settings());
     const RequestId one = host.ask(0), two = host.ask(0);
-    host.end(one, Status::Ok, 360 * kMillisecond); // L = 1.2, two out with it: 2 / (1 + 0.8 * 0.2)
+    host.end(one, Status::Ok,
+             360 * kMillisecond); // mean ratio 1.2, two in flight with it: 2 / (1 + 0.8 * 0.2)
     EXPECT_NEAR(*host.scheduler.concurrency_limit(NodeId{0}), 2 / 1.16, 1e-9);
-    host.end(two, Status::Ok, 600 * kMillisecond); // L = 1.6, one out: under the floor
+    host.end(two, Status::Ok, 600 * kMillisecond); // mean ratio 1.6, one in flight: under the floor
     EXPECT_DOUBLE_EQ(*host.scheduler.concurrency_limit(NodeId{0}), 1);
     host.end(host.ask(0), Status::Ok, 30 * kMillisecond);
     host.end(host.ask(0), Status::Ok, 30 * kMillisecond); // the mean of 1.2, 2, 0.1 and 0.1 is 0.85
@@ -61,7 +62,7 @@
     EXPECT_EQ(host.attempt_count(lost), 1u);
 }
 
-// A node whose answers are quick has no full queue: what it turns away again and again says nothing of load.
+// Guards against rejections by a node without a full queue lowering its limit.
 TEST(ConcurrencyLimit, AQuickNodesRefusalsSayNothingOfItsLoad) {
     TestHost host(basic_settings());
     for (int k = 0; k < 10; ++k)
--- a/tests/policy/handover_test.cpp
+++ b/tests/policy/handover_test.cpp
@@ -3,13 +3,13 @@
 namespace marblewood::policy_test {
 namespace {
 
-// What a limit allows goes out once over both processes, and a cold node gets its units from one of them.
+// Guards against a rate limit, or a node's slow-start budget, being spent by both processes.
 TEST(Handover, RateLimitsAndSlowStartHoldOverAHandover) {
     Settings s = basic_settings();
     s.plans = {{10, 5, 1, 1, 4, 8, 0}}; // 4 units a second, 8 at once
     s.classes[0].deadline = 60 * kSecond;
     TestHost old(s, 1), fresh(s, 1);
-    fresh.ask(0); // both fill their stores; the successor's counts for nothing before it takes over
+    fresh.ask(0); // both fill their buckets; the successor's counts for nothing before it takes over
     old.end(old.ask(0, 0, 0));
     old.run(10 * kSecond);
     const auto count = [](TestHost &host, int n) {
--- a/tests/policy/load_estimate_test.cpp
+++ b/tests/policy/load_estimate_test.cpp
@@ -13,7 +13,7 @@
     return load;
 }
 
-// Asks past a volume's reserve and share, so that what comes next is spare work; nothing stays out.
+// Asks past a volume's reserve and share, so that what comes next is surplus work; nothing stays in flight.
 void spend(TestHost &host) {
     for (int k = 0; k < 40; ++k)
         if (const RequestId id = host.ask(1, 0, 4); host.attempt_count(id))
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -3,18 +3,17 @@
 namespace marblewood::policy_test {
 namespace {
 
-// manila-store, upgrade+hand+scrape: one volume's surge waited for 0.3 of its clients' time on every
-// connection that clients had, and 1,265 requests of others found none.
+// Guards against one volume's surge holding every connection that clients have.
 TEST(LoadShedder, BeyondWhatMayWaitTheLowestPriorityIsRefusedAtOnce) {
     Settings s = basic_settings();
     s.surplus_priority_factor = 0.1;
     s.max_queued_requests = 2;
     TestHost host(s);
-    const RequestId one = host.ask(0), two = host.ask(0); // out: the bound's places are taken
+    const RequestId one = host.ask(0), two = host.ask(0); // in flight: the concurrency limit is reached
     const RequestId first = host.ask(0), second = host.ask(0);
     EXPECT_TRUE(host.refused.empty());
     host.run(10 * kMillisecond);
-    const RequestId third = host.ask(0); // worth as much, due last
+    const RequestId third = host.ask(0); // of the same priority, due last
     ASSERT_EQ(host.refused, std::vector{third});
     for (int k = 0; k < 30; ++k)
         host.ask(0, 0, 4); // spends the volume's reserve and share
@@ -39,7 +38,7 @@
         host.ask(1, 0, 4); // spends the volume's reserve and share elsewhere
     const RequestId sent = host.ask(0);
     ASSERT_EQ(host.attempt_count(sent), 1u);
-    host.end(sent, Status::Error); // waits for its second attempt, and is worth little
+    host.end(sent, Status::Error); // waits for its second attempt, and has a low priority
     host.volume = 2;
     host.ask(0), host.ask(0), host.ask(0), host.ask(0);
     EXPECT_FALSE(TestHost::has(host.refused, sent) || TestHost::has(host.failed, sent));
--- a/tests/policy/lost_attempts_test.cpp
+++ b/tests/policy/lost_attempts_test.cpp
@@ -3,8 +3,7 @@
 namespace marblewood::policy_test {
 namespace {
 
-// Guards against a place of the bound, and a client, held until its time is up by an attempt whose connection
-// fell silent. A slow node, which has served nothing later, keeps its attempt.
+// Guards against an attempt on a silent connection holding a place and its client until its time-out.
 TEST(LostAttempts, AnAttemptThatLaterOnesOvertookIsCancelled) {
     Settings settings = basic_settings();
     settings.cancel = true;
--- a/tests/policy/node_selector_test.cpp
+++ b/tests/policy/node_selector_test.cpp
@@ -11,7 +11,7 @@
     EXPECT_EQ(host.attempts[id][0], NodeId{1});
 }
 
-// Incident ie34a39: during a release all new objects went to the few nodes that were not cold.
+// Guards against all new objects going to the few nodes that are not warming up.
 TEST(NodeSelector, WarmingNodesAreNotShunnedByNewObjects) {
     TestHost host(basic_settings());
     host.run(2 * kSecond);
@@ -28,7 +28,7 @@
     EXPECT_GE(cold, 3);
 }
 
-// Padova-archivio-later: every host sent its new objects to the same first node of those with equal bounds.
+// Guards against all hosts placing new objects on the same node.
 TEST(NodeSelector, HostsThatSeeTheSameSpreadNewObjects) {
     std::map<NodeId, int> chosen;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -43,8 +43,7 @@
         EXPECT_LE(times, 50) << static_cast<std::uint32_t>(node);
 }
 
-// Guards against reads of a new object that bear a shard from before it was placed: turned away there, they
-// go where this host placed it.
+// Guards against a read that names its object's former shard being rejected there for ever.
 TEST(NodeSelector, ARejectedReadGoesWhereItsObjectWasPlaced) {
     TestHost host(basic_settings());
     const RequestId write = host.ask(-1, 0, 1, DataKey{7});
--- a/tests/policy/node_table_test.cpp
+++ b/tests/policy/node_table_test.cpp
@@ -30,8 +30,7 @@
     EXPECT_EQ(host.attempts[id][0], NodeId{7});
 }
 
-// Fleet day zone+vast: a node that goes while work is out at it and comes back under its own shard takes that
-// shard's work again; it was left out of the shard, whose account a sweep then dropped (map::at, exit 1).
+// Guards against a node that returns while work is in flight there missing from its shard (map::at).
 TEST(NodeTable, ANodeBackFromGoneWhileWorkWasOutServesItsShardAgain) {
     TestHost host(basic_settings());
     const RequestId out = host.ask(0);
--- a/tests/policy/quota_ledger_test.cpp
+++ b/tests/policy/quota_ledger_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(QuotaLedger, ANewHostStartsWithAnEmptyBucketAndFillsItsPart) {
     Settings s = rate_limited_settings();
-    s.classes[0].latency_objective = 400 * kMillisecond; // still within reach when the store has filled
+    s.classes[0].latency_objective = 400 * kMillisecond; // still within reach when the bucket has filled
     TestHost host(s);
     host.hosts = 2;
     const RequestId id = host.ask(0, 0, 1);
@@ -28,7 +28,7 @@
     TestHost host(rate_limited_settings());
     const RequestId early = host.ask(0, 0, 4);
     host.run(170 * kMillisecond); // 3.4 units: too few
-    host.run(190 * kMillisecond); // seven units by now, but the first one's aim has passed
+    host.run(190 * kMillisecond); // seven units by now, but the first one's objective has passed
     EXPECT_EQ(host.attempt_count(early), 0u);
     const RequestId timely = host.ask(0, 0, 4);
     EXPECT_EQ(host.attempt_count(timely), 1u);
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -11,8 +11,7 @@
     EXPECT_LE(host.timers_set, 11);
 }
 
-// A long value that has begun is the node's answer: its client is not refused at its deadline, no second copy
-// goes out, and it holds no place of the bound, nor speaks against the node, for as long as it takes.
+// Guards against an answer that has begun to arrive being given up, retried, or held against its node.
 TEST(Scheduler, AnAnswerThatHasBegunIsLeftToItself) {
     TestHost host(basic_settings(), 1);
     const RequestId id = host.ask(0);
@@ -95,8 +94,7 @@
     EXPECT_LE(held.volumes, 7'000u); // of 20,000 seen
 }
 
-// A request that is withdrawn has its final answer at once: refused where that is true of it, else failed,
-// and what is out of it is given up.
+// Guards against a request staying open once its front end needs the final answer.
 TEST(Scheduler, AnswersARequestAtOnceByItsClassWhenTold) {
     Settings s = basic_settings();
     s.cancel = true;
@@ -119,7 +117,7 @@
     EXPECT_FALSE(host.scheduler.tracks(write));
 }
 
-// A value that is being passed on goes on.
+// Guards against breaking off an answer that is being forwarded.
 TEST(Scheduler, DoesNotEndARequestWhoseAnswerIsForwarded) {
     TestHost host(basic_settings(), 1);
     const RequestId read = host.ask(0);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -38,12 +38,12 @@
     host.end(one, Status::ConnectFailed);
     host.end(two, Status::ConnectFailed);
     host.run(120 * kMillisecond);
-    EXPECT_EQ(host.sent.size(), 3u); // one trial
+    EXPECT_EQ(host.sent.size(), 3u); // one probe request
     host.end(host.sent.back().id);
     EXPECT_TRUE(host.logged("slow_start_began node=0"));
 }
 
-// The test of many hosts found it: a host refused after the listed start took the node for warm.
+// Guards against a host whose connect failed after the listed start taking the node for a warm one.
 TEST(SlowStart, AListedStartOlderThanTheLastRefusalStillCountsAsAStart) {
     TestHost host(basic_settings());
     host.run(2 * kSecond);
@@ -64,7 +64,7 @@
     EXPECT_LE(units, 12);
 }
 
-// Datagrams are priced: a turn is asked for only where the cold node's deal is what holds timely work back.
+// Guards against datagrams that cannot help: a grant is requested only where slow start holds work back.
 TEST(SlowStart, AGrantIsRequestedOnlyWhereItWouldHelp) {
     for (const bool limited : {false, true}) {
         Settings s = basic_settings();
@@ -81,7 +81,7 @@
     }
 }
 
-// By hand out and back: the node is held for one that has just started, though its listed start is old.
+// Guards against full load on a node that may have restarted while an operator had it out.
 TEST(SlowStart, ANodePutBackByHandWarmsUp) {
     TestHost host(basic_settings(), 1);
     host.run(5 * kSecond);
@@ -98,10 +98,10 @@
             host.end(id), units += 1;
     }
     EXPECT_GT(units, 0);
-    EXPECT_LE(units, 12); // what a cold node bears in a window
+    EXPECT_LE(units, 12); // what a warming node may be sent in a window
 }
 
-// A start told while a node drains counts once it is ready.
+// Guards against forgetting a start that is listed while the node drains.
 TEST(SlowStart, AStartListedDuringADrainIsNotForgotten) {
     TestHost host(basic_settings(), 1);
     host.run(5 * kSecond);
