--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -16,41 +16,41 @@
 
 namespace {
 
-struct Try {
+struct TrackedAttempt {
     NodeId node{};
     Micros sent = 0, expires = 0;
     bool out = true, ran = true;
 };
 
-struct Item {
+struct TrackedRequest {
     RequestArrived in;
     Micros taken = 0;
     bool answered = false, left = false;
-    std::vector<Try> tries;
+    std::vector<TrackedAttempt> attempts;
     bool any_out() const {
-        return std::any_of(tries.begin(), tries.end(), [](const Try &t) { return t.out; });
+        return std::any_of(attempts.begin(), attempts.end(), [](const TrackedAttempt &t) { return t.out; });
     }
     bool any_ran() const {
-        return std::any_of(tries.begin(), tries.end(), [](const Try &t) { return t.ran; });
+        return std::any_of(attempts.begin(), attempts.end(), [](const TrackedAttempt &t) { return t.ran; });
     }
 };
 
 struct Host {
     std::optional<Scheduler> scheduler;
-    std::map<RequestId, Item> items;
+    std::map<RequestId, TrackedRequest> requests;
     std::map<DataKey, std::vector<RequestId>> lines; // ordered classes: all taken, in order
-    std::map<DataKey, Micros> rests;
+    std::map<DataKey, Micros> paused_until;
     std::map<NodeId, Micros> told; // drains
-    std::deque<Micros> taken, further;
+    std::deque<Micros> taken, retries;
     std::multimap<Micros, std::uint64_t> timers;
 };
 
 // The world calls at times up to this far apart, so that timers may fire late by as much.
 constexpr Micros kCoarse = 20'000;
 
-class World {
+class Cluster {
 public:
-    explicit World(std::uint32_t seed) : random_(seed), hosts_(static_cast<std::size_t>(pick(1, 4))) {
+    explicit Cluster(std::uint32_t seed) : random_(seed), hosts_(static_cast<std::size_t>(pick(1, 4))) {
         settings_.hosts = static_cast<int>(hosts_.size());
         settings_.classes = {
             {300'000, 1'500'000, 2, 0.1, Idempotency::Idempotent, DeduplicationScope::All, 0, chance(0.3),
@@ -168,7 +168,7 @@
         const Micros deadline = settings_.classes[static_cast<std::size_t>(in.cls)].deadline;
         in.time_left = chance(0.9) ? deadline : chance(0.5) ? deadline / pick(2, 40) : 0;
         host.taken.push_back(now_);
-        host.items[in.id] = {in, now_, false, false, {}};
+        host.requests[in.id] = {in, now_, false, false, {}};
         if (ordered(in))
             host.lines[*in.key].push_back(in.id);
         handle(h, in);
@@ -191,13 +191,13 @@
     void fire_outcomes(std::size_t h) {
         Host &host = hosts_[h];
         std::vector<std::pair<RequestId, int>> out;
-        for (auto &[id, item] : host.items)
-            for (std::size_t k = 0; k < item.tries.size(); ++k)
-                if (item.tries[k].out)
+        for (auto &[id, item] : host.requests)
+            for (std::size_t k = 0; k < item.attempts.size(); ++k)
+                if (item.attempts[k].out)
                     out.emplace_back(id, static_cast<int>(k));
         for (const auto &[id, k] : out) {
-            Item &item = host.items.at(id);
-            Try &t = item.tries[static_cast<std::size_t>(k)];
+            TrackedRequest &item = host.requests.at(id);
+            TrackedAttempt &t = item.attempts[static_cast<std::size_t>(k)];
             Status status = Status::Ok;
             if (now_ >= t.expires)
                 status = Status::Timeout;
@@ -210,7 +210,7 @@
             t.out = false;
             t.ran = status != Status::Rejected && status != Status::ConnectFailed;
             if (ordered(item.in) && (status == Status::Timeout || status == Status::Reset))
-                host.rests[*item.in.key] = now_ + settings_.ordering_settle_time;
+                host.paused_until[*item.in.key] = now_ + settings_.ordering_settle_time;
             if (status == Status::Ok && !item.answered)
                 item.answered = true, ++answers;
             handle(h, AttemptEnded{id, k, status, now_ - t.sent, item.answered || item.left, 0, 0, {}});
@@ -219,7 +219,7 @@
 
     void check_answers() {
         for (Host &host : hosts_)
-            for (auto &[id, item] : host.items)
+            for (auto &[id, item] : host.requests)
                 if (!item.answered &&
                     now_ > item.taken + item.in.time_left + settings_.answer_slack + kCoarse)
                     FAIL() << "rule 1: request " << static_cast<std::uint64_t>(id) << " has no answer";
@@ -240,8 +240,8 @@
                 host.timers.emplace(now_ + timer->delay, timer->token);
             else if (const auto *cancel = std::get_if<Cancel>(&action)) {
                 ASSERT_TRUE(settings_.cancel);
-                Item &item = host.items.at(cancel->id);
-                Try &t = item.tries.at(static_cast<std::size_t>(cancel->attempt));
+                TrackedRequest &item = host.requests.at(cancel->id);
+                TrackedAttempt &t = item.attempts.at(static_cast<std::size_t>(cancel->attempt));
                 if (t.out)
                     t.expires = now_;
             }
@@ -249,7 +249,7 @@
     }
 
     void check_final(Host &host, RequestId id, bool refusal) {
-        Item &item = host.items.at(id);
+        TrackedRequest &item = host.requests.at(id);
         EXPECT_FALSE(item.answered) << "rule 1: two final answers";
         item.answered = true;
         ++answers;
@@ -266,18 +266,18 @@
     void check_send(std::size_t h, const Send &send) {
         ++sends;
         Host &host = hosts_[h];
-        Item &item = host.items.at(send.id);
+        TrackedRequest &item = host.requests.at(send.id);
         const ClassSettings &cls = settings_.classes[static_cast<std::size_t>(item.in.cls)];
         const NodeEntry &entry = entries_.at(static_cast<std::size_t>(send.node));
         EXPECT_FALSE(item.answered) << "rule 1: sent after its end";
-        if (item.in.shard && item.tries.empty())
+        if (item.in.shard && item.attempts.empty())
             EXPECT_EQ(*item.in.shard, entry.shard);
-        EXPECT_LT(item.tries.size(), static_cast<std::size_t>(settings_.max_attempts));
+        EXPECT_LT(item.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
         EXPECT_FALSE(item.any_out() && !settings_.hedging) << "rule 2: two at once";
         if (cls.idempotency == Idempotency::NotIdempotent)
             EXPECT_FALSE(item.any_ran()) << "rule 2: unsafe sent again";
         if (cls.idempotency == Idempotency::WithKey)
-            for (const Try &t : item.tries)
+            for (const TrackedAttempt &t : item.attempts)
                 if (t.ran) {
                     EXPECT_LE(now_, t.sent + cls.deduplication_window) << "rule 2: outside the window";
                     const NodeEntry &first = entries_.at(static_cast<std::size_t>(t.node));
@@ -307,23 +307,23 @@
             for (const RequestId before : host.lines[*item.in.key]) {
                 if (before == send.id)
                     break;
-                const Item &earlier = host.items.at(before);
+                const TrackedRequest &earlier = host.requests.at(before);
                 EXPECT_TRUE(earlier.answered && !earlier.any_out()) << "rule 5: out of turn";
             }
-            if (item.tries.empty())
-                EXPECT_GE(now_, host.rests[*item.in.key]) << "rule 5: no rest";
+            if (item.attempts.empty())
+                EXPECT_GE(now_, host.paused_until[*item.in.key]) << "rule 5: no rest";
         }
-        if (!item.tries.empty() && settings_.retry_budget_window > 0) {
-            host.further.push_back(now_);
+        if (!item.attempts.empty() && settings_.retry_budget_window > 0) {
+            host.retries.push_back(now_);
             const auto in_window = [&](Micros t) { return t > now_ - settings_.retry_budget_window; };
-            EXPECT_LE(static_cast<double>(std::count_if(host.further.begin(), host.further.end(), in_window)),
+            EXPECT_LE(static_cast<double>(std::count_if(host.retries.begin(), host.retries.end(), in_window)),
                       settings_.retry_budget_free + settings_.retry_budget_fraction *
                                                         static_cast<double>(std::count_if(
                                                             host.taken.begin(), host.taken.end(), in_window)))
                 << "rule 6";
         }
         const PlanSettings &plan = settings_.plans[static_cast<std::size_t>(item.in.plan)];
-        if (item.tries.empty() && plan.limit > 0) {
+        if (item.attempts.empty() && plan.limit > 0) {
             auto [it, fresh] = stores_.try_emplace(item.in.volume, plan.limit_burst, now_);
             auto &[level, at] = it->second;
             level = std::min(plan.limit_burst, level + plan.limit * static_cast<double>(now_ - at) / 1e6);
@@ -332,7 +332,7 @@
             EXPECT_GE(level, -plan.limit_slack - 1e-6) << "rule 7";
         }
         const Micros end = item.taken + item.in.time_left;
-        item.tries.push_back(
+        item.attempts.push_back(
             {send.node, now_, send.expires > 0 ? std::min(send.expires, end) : end, true, true});
     }
 
@@ -350,7 +350,7 @@
 class Rules : public testing::TestWithParam<std::uint32_t> {};
 
 TEST_P(Rules, HoldOnRandomEvents) {
-    World world(GetParam());
+    Cluster world(GetParam());
     world.play(6000);
     EXPECT_GT(world.sends, 300); // the checks above had something to check
     EXPECT_GT(world.answers, 300);
@@ -565,13 +565,13 @@
             if (const auto *timer = std::get_if<SetTimer>(&action))
                 host.coming.emplace(now_ + timer->delay, TimerDue{timer->token});
             else if (const auto *send = std::get_if<Send>(&action)) {
-                auto &[units, tries] = host.units.at(send->id);
+                auto &[units, attempts] = host.units.at(send->id);
                 const Status status = down() ? Status::ConnectFailed : failing_ ? Status::Error : Status::Ok;
                 const Micros took = down() ? 1000 : pick(10'000, 60'000);
                 host.coming.emplace(
                     now_ + took,
-                    AttemptEnded{send->id, tries++, status, took, !failing_ && !down(), 0, 0, {}});
-                if (limited_hosts_ == 0 || tries == 1)
+                    AttemptEnded{send->id, attempts++, status, took, !failing_ && !down(), 0, 0, {}});
+                if (limited_hosts_ == 0 || attempts == 1)
                     sent.push_back({now_, units, host.informed});
             } else if (const auto *word = std::get_if<SendPeerMessage>(&action)) {
                 ++words;
