--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -3,6 +3,7 @@
 #include "admin/admin_server.hpp"
 #include "admin/statistics.hpp"
 #include "core/request_dispatcher.hpp"
+#include "gossip/gossip_transport.hpp"
 #include "hot_restart/hot_restart.hpp"
 #include "net/address.hpp"
 #include "net/cells/residence.hpp"
@@ -12,7 +13,6 @@
 #include "net/lists/document_watch.hpp"
 #include "net/nvme/front.hpp"
 #include "net/otlp/exporter.hpp"
-#include "net/peers/peers.hpp"
 #include "net/resp/front.hpp"
 
 #include <boost/asio/signal_set.hpp>
@@ -137,11 +137,11 @@
 
     std::optional<discovery::DiscoveryClient> discovery;
     std::optional<net::lists::DocumentWatch> documents;
-    std::optional<net::peers::Peers> peers;
+    std::optional<gossip::GossipTransport> peers;
     core::DispatcherCallbacks around;
     around.send_peer_message = [&](std::optional<int> peer, const std::string &data) {
         if (peers)
-            peers->tell(peer, data);
+            peers->send(peer, data);
     };
     // Each dispatcher is a host of its own to the module, so that what hosts share out is shared out once
     // more.
@@ -194,9 +194,9 @@
 
     net::EndpointRegistry fleet(nodes, zones, mapping, resp_port, nvme_port, ports, dispatchers);
     const auto told = [&](const discovery::ListResponse &reading) {
-        fleet.told(reading);
+        fleet.apply(reading);
         if (residence)
-            residence->ready_nodes(fleet.ready());
+            residence->ready_nodes(fleet.ready_nodes());
     };
     if (!config.discovery.empty())
         discovery.emplace(
@@ -213,9 +213,9 @@
         if (distribution.documents)
             documents.emplace(io, deadlines, selector, config.name, config.settings.seed,
                               [&](const config::Operations &operations, distribution::Revision) {
-                                  fleet.cordon_fleet(operations.cordons);
+                                  fleet.set_fleet_cordons(operations.cordons);
                                   if (residence)
-                                      residence->ready_nodes(fleet.ready());
+                                      residence->ready_nodes(fleet.ready_nodes());
                               });
         discovery->use_distributors(std::move(selector));
     }
@@ -223,8 +223,8 @@
         core::log("configuration: no 'discovery': the nodes in 'known' are all there are, and none drains");
     if (residence) {
         residence->confined = [&] {
-            fleet.confine([&](const std::string &id) { return residence->allows(id); });
-            residence->ready_nodes(fleet.ready());
+            fleet.set_node_filter([&](const std::string &id) { return residence->allows(id); });
+            residence->ready_nodes(fleet.ready_nodes());
         };
         residence->confined();
     }
@@ -253,7 +253,7 @@
     told(saved);
     if (legacy) {
         try {
-            fleet.inherit(config::need(legacy->parent.state, "fleet"));
+            fleet.restore(config::need(legacy->parent.state, "fleet"));
             away = config::flag_or(legacy->parent.state, "quiesced", false);
             away_since = clock.now() - config::integer_or(legacy->parent.state, "quiesced_us", 0);
         } catch (const config::Error &error) { // nothing of it is taken; the predecessor serves on
@@ -292,8 +292,8 @@
         c.turned_away = figures.turned_away;
         c.refused = figures.sum(static_cast<std::size_t>(core::Outcome::Kind::Refused));
         c.unsent = figures.unsent;
-        c.datagrams = peers ? peers->sent() : 0;
-        c.datagram_bytes = peers ? peers->bytes() : 0;
+        c.datagrams = peers ? peers->datagrams_sent() : 0;
+        c.datagram_bytes = peers ? peers->bytes_sent() : 0;
         for (const auto &dispatcher : dispatchers) {
             const net::Counts more = net::counts(dispatcher->overload());
             for (std::size_t n = 0; n < more.size(); ++n)
@@ -309,9 +309,10 @@
             open_clients += nvme_clients->open();
             closing_clients += nvme_clients->closing();
         }
-        std::string text = admin::format_statistics(figures, config.settings,
-                                                    {fleet.open(), fleet.size(), fleet.avoided(), costs(),
-                                                     client_figures, open_clients, closing_clients});
+        std::string text =
+            admin::format_statistics(figures, config.settings,
+                                     {fleet.open_requests(), fleet.size(), fleet.avoided_nodes(), costs(),
+                                      client_figures, open_clients, closing_clients});
         if (documents)
             text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
                                 documents->in_force(), documents->refused());
@@ -323,7 +324,7 @@
     const auto cordon = [&](const std::string &id, bool out) {
         const bool known = out ? fleet.cordon(id) : fleet.uncordon(id);
         if (residence)
-            residence->ready_nodes(fleet.ready());
+            residence->ready_nodes(fleet.ready_nodes());
         if (known && handover)
             handover->forward_cordon(id, out);
         return known;
@@ -370,7 +371,7 @@
             if (part)
                 on ? part->resume() : part->pause();
         if (peers)
-            peers->listen(on);
+            on ? peers->start_receiving() : peers->stop_receiving();
     };
     hot_restart::ProcessHooks program;
     program.release_state = [&] {
@@ -380,7 +381,7 @@
         all.state["quiesced"] = away;
         all.state["quiesced_us"] = static_cast<Json::Int64>(away ? clock.now() - away_since : 0);
         all.state["clients"] = budget.clients();
-        all.state["fleet"] = fleet.state();
+        all.state["fleet"] = fleet.handover_state();
         const auto give = [&](const char *name, int socket) {
             all.sockets[name] = net::Descriptor(::dup(socket));
         };
@@ -389,7 +390,7 @@
             give("nvme", nvme_clients->listener());
         if (peers)
             give("peers", peers->descriptor());
-        fleet.retire(true);
+        fleet.drain_for_successor(true);
         share(true, 0);
         return all;
     };
@@ -398,7 +399,7 @@
     };
     program.resume = [&] {
         clients.hand_over(nullptr);
-        fleet.retire(false);
+        fleet.drain_for_successor(false);
         share(false, 0);
         accept(true);
     };
--- a/src/lab/scale/hollow_broker.cpp
+++ b/src/lab/scale/hollow_broker.cpp
@@ -27,7 +27,7 @@
     core::DispatcherCallbacks around;
     around.send_peer_message = [this](std::optional<int> peer, const std::string &data) {
         if (peers_)
-            peers_->tell(peer, data);
+            peers_->send(peer, data);
     };
     dispatchers_.push_back(std::make_unique<core::RequestDispatcher>(io.get_executor(), deadlines, memory_,
                                                                      figures_, settings_, ports_, around));
@@ -38,7 +38,7 @@
         saved = discovery::decode_node_list(config.known, nodes_, zones_);
     saved.update.kind = ListUpdate::Kind::Saved;
     revision_ = saved.revision;
-    fleet_.told(saved);
+    fleet_.apply(saved);
     const bool distributed = !config.distributors.empty();
     const std::string at = distributed ? config.distributors.front().address : config.discovery;
     discovery_.emplace(
@@ -55,7 +55,7 @@
     documents_.emplace(
         io, deadlines, selector, name_, settings_.seed,
         [this, &deadlines](const config::Operations &operations, distribution::Revision version) {
-            fleet_.cordon_fleet(operations.cordons);
+            fleet_.set_fleet_cordons(operations.cordons);
             configured_.push_back({version, deadlines.clock.now()});
         });
 }
@@ -97,7 +97,7 @@
     if (reading.revision > revision_)
         adopted_.push_back({reading.revision, now});
     revision_ = reading.revision;
-    fleet_.told(reading);
+    fleet_.apply(reading);
 }
 
 } // namespace marblewood::lab::scale
--- a/src/lab/scale/hollow_broker.hpp
+++ b/src/lab/scale/hollow_broker.hpp
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "config/distribution.hpp"
+#include "gossip/gossip_transport.hpp"
 #include "net/endpoint_registry.hpp"
 #include "net/lists/document_watch.hpp"
-#include "net/peers/peers.hpp"
 
 #include <map>
 
@@ -43,7 +43,7 @@
     const std::vector<Adoption> &configured() const { return configured_; }
     /// Bytes both ways, calls and failures of all its watches.
     discovery::DiscoveryMetrics traffic() const;
-    std::uint64_t datagrams() const { return peers_ ? peers_->sent() : 0; }
+    std::uint64_t datagrams() const { return peers_ ? peers_->datagrams_sent() : 0; }
     std::size_t nodes() const { return fleet_.size(); }
 
 private:
@@ -63,7 +63,7 @@
     net::Ports ports_;
     net::EndpointRegistry::Dispatchers dispatchers_;
     net::EndpointRegistry fleet_;
-    std::optional<net::peers::Peers> peers_;
+    std::optional<gossip::GossipTransport> peers_;
     std::optional<discovery::DiscoveryClient> discovery_;
     std::int64_t revision_ = 0;
     std::optional<net::lists::DocumentWatch> documents_;
--- a/src/net/endpoint_registry.cpp
+++ b/src/net/endpoint_registry.cpp
@@ -1,34 +1,39 @@
 #include "net/endpoint_registry.hpp"
 
 #include "net/address.hpp"
+#include "net/registry_state.hpp"
 
 namespace marblewood::net {
 
-void EndpointRegistry::told(const discovery::ListResponse &reading) {
-    for (const auto &[node, at] : reading.addresses) {
-        addresses_[node] = at;
-        const auto where = endpoint<tcp::endpoint>(at);
-        if (!where)
-            continue;
-        const auto special = mapping_.nodes.find(names_.text(static_cast<std::uint32_t>(node)));
-        if (special == mapping_.nodes.end()) {
-            resp_port_.place(node, *where);
-        } else {
-            nvme_port_.place(node, *where, special->second);
-            ports_.set(node, nvme_port_);
-        }
+void EndpointRegistry::apply(const discovery::ListResponse &list) {
+    for (const discovery::NodeAddress &address : list.addresses)
+        set_address(address);
+    revision_ = list.revision;
+    notify_dispatchers(endpoints_.lay(list.update));
+    forget_removed_nodes();
+}
+
+void EndpointRegistry::set_address(const discovery::NodeAddress &address) {
+    const NodeId node = address.node;
+    addresses_[node] = address.host_port;
+    const auto resolved = endpoint<tcp::endpoint>(address.host_port);
+    if (!resolved)
+        return;
+    const auto nvme_node = mapping_.nodes.find(names_.text(static_cast<std::uint32_t>(node)));
+    if (nvme_node == mapping_.nodes.end()) {
+        resp_port_.place(node, *resolved);
+        return;
     }
-    revision_ = reading.revision;
-    tell(endpoints_.lay(reading.update));
-    // Nodes are replaced for as long as this runs: those that are gone, with nothing out there, are
-    // forgotten. One that is out by hand stays so if it is listed again.
+    nvme_port_.place(node, *resolved, nvme_node->second);
+    ports_.set(node, nvme_port_);
+}
+
+// Guards against growth without bound where nodes are replaced for as long as the process runs.
+void EndpointRegistry::forget_removed_nodes() {
     names_.forget_if([&](std::uint32_t number) {
         const NodeId node{number};
-        if (endpoints_.cordoned(node) || endpoints_.listed(node))
+        if (is_in_use(node))
             return false;
-        for (const auto &dispatcher : dispatchers_)
-            if (dispatcher->knows(node))
-                return false;
         resp_port_.forget(node);
         nvme_port_.forget(node);
         ports_.forget(node);
@@ -37,183 +42,121 @@
     });
 }
 
-void EndpointRegistry::tell(ListUpdate update) {
-    std::erase_if(update.entries, [&](const NodeEntry &entry) { return !allowed(entry.node); });
+// A cordoned node is kept, so that it stays cordoned if it is listed again.
+bool EndpointRegistry::is_in_use(NodeId node) const {
+    if (endpoints_.cordoned(node) || endpoints_.listed(node))
+        return true;
+    return std::any_of(dispatchers_.begin(), dispatchers_.end(),
+                       [&](const auto &dispatcher) { return dispatcher->knows(node); });
+}
+
+void EndpointRegistry::notify_dispatchers(ListUpdate update) {
+    std::erase_if(update.entries, [&](const NodeEntry &entry) { return !is_allowed(entry.node); });
     for (const auto &dispatcher : dispatchers_)
         dispatcher->list(update);
 }
 
-void EndpointRegistry::confine(std::function<bool(const std::string &id)> allows) {
+bool EndpointRegistry::is_allowed(NodeId node) const {
+    return !allows_ || allows_(names_.text(static_cast<std::uint32_t>(node)));
+}
+
+void EndpointRegistry::set_node_filter(NodeFilter allows) {
     allows_ = std::move(allows);
-    ListUpdate all{ListUpdate::Kind::Full, {}};
-    for (const auto &[node, entry] : endpoints_.entries()) {
-        all.entries.push_back(entry);
+    ListUpdate complete{ListUpdate::Kind::Full, {}};
+    for (const auto &[node, listed] : endpoints_.entries()) {
+        NodeEntry entry = listed;
         if (endpoints_.cordoned(node) && entry.state == NodeState::Ready)
-            all.entries.back().state = NodeState::Draining;
+            entry.state = NodeState::Draining;
+        complete.entries.push_back(entry);
     }
-    tell(std::move(all));
-}
-
-std::size_t EndpointRegistry::ready() const {
-    return static_cast<std::size_t>(
-        std::count_if(endpoints_.entries().begin(), endpoints_.entries().end(), [&](const auto &listed) {
-            return listed.second.state == NodeState::Ready && !endpoints_.cordoned(listed.first) &&
-                   allowed(listed.first);
-        }));
+    notify_dispatchers(std::move(complete));
 }
 
 std::optional<NodeId> EndpointRegistry::find(const std::string &id) const {
     const auto number = names_.find(id);
-    if (!number || !(endpoints_.listed(NodeId{*number}) || endpoints_.cordoned(NodeId{*number})))
+    if (!number)
+        return std::nullopt;
+    const NodeId node{*number};
+    if (!endpoints_.listed(node) && !endpoints_.cordoned(node))
         return std::nullopt;
-    return NodeId{*number};
+    return node;
 }
+
 bool EndpointRegistry::cordon(const std::string &id) {
     const auto node = find(id);
     if (node)
-        tell(endpoints_.cordon(*node));
+        notify_dispatchers(endpoints_.cordon(*node));
     return node.has_value();
 }
+
 bool EndpointRegistry::uncordon(const std::string &id) {
     const auto node = find(id);
     if (node)
-        tell(endpoints_.uncordon(*node));
+        notify_dispatchers(endpoints_.uncordon(*node));
     return node.has_value();
 }
 
-void EndpointRegistry::cordon_fleet(const std::set<std::string> &ids) {
+void EndpointRegistry::set_fleet_cordons(const std::set<std::string> &ids) {
     std::set<NodeId> nodes;
     for (const std::string &id : ids)
         nodes.insert(NodeId{names_.number(id)});
-    tell(endpoints_.cordon_fleet(std::move(nodes)));
-}
-
-Json::Value EndpointRegistry::state() const {
-    const auto name = [&](NodeId node) { return names_.text(static_cast<std::uint32_t>(node)); };
-    Json::Value all;
-    all["list"] = Json::objectValue;
-    all["list"]["revision"] = static_cast<Json::Int64>(revision_);
-    all["list"]["complete"] = true;
-    all["list"]["members"] = all["cordons"] = all["limits"] = all["nodes"] = Json::arrayValue;
-    all["fleet_cordons"] = Json::arrayValue;
-    for (const auto &[node, entry] : endpoints_.entries()) {
-        Json::Value row;
-        row["id"] = name(node);
-        row["host_port"] = addresses_.at(node);
-        row["locality"] = zones_.text(static_cast<std::uint32_t>(entry.zone));
-        row["cell"] = static_cast<Json::Int64>(entry.shard);
-        row["phase"] = entry.state == NodeState::Ready ? "up" : "draining";
-        row["up_since_ms"] = static_cast<double>(entry.started) / 1000;
-        all["list"]["members"].append(std::move(row));
-    }
-    for (const NodeId node : endpoints_.out())
-        all["cordons"].append(name(node));
-    for (const NodeId node : endpoints_.fleet_out())
-        all["fleet_cordons"].append(name(node));
-    for (const auto &dispatcher : dispatchers_) {
-        const HandoverState handover = dispatcher->handover_state();
-        all["born"] = static_cast<Json::Int64>(handover.started_at);
-        for (const HandoverState::VolumeQuota &s : handover.quotas) {
-            Json::Value row;
-            row["volume"] = static_cast<Json::UInt64>(s.volume);
-            row["units"] = s.units;
-            row["lent"] = s.lent;
-            all["limits"].append(std::move(row));
-        }
-        for (const HandoverState::NodeHistory &s : handover.nodes) {
-            Json::Value row;
-            row["id"] = name(s.node);
-            row["since"] = static_cast<Json::Int64>(s.slow_start_began);
-            row["declared"] = s.start_listed;
-            row["sum"] = s.latency_sum;
-            row["weight"] = s.latency_weight;
-            row["stamp"] = static_cast<Json::Int64>(s.latency_updated);
-            row["spent"] = Json::arrayValue;
-            for (const HandoverState::SlowStartSend &spent : s.slow_start_sends) {
-                Json::Value one;
-                one["at"] = static_cast<Json::Int64>(spent.at);
-                one["units"] = spent.units;
-                one["layer"] = spent.layer;
-                row["spent"].append(std::move(one));
-            }
-            all["nodes"].append(std::move(row));
-        }
-    }
-    return all;
+    notify_dispatchers(endpoints_.cordon_fleet(std::move(nodes)));
 }
 
-void EndpointRegistry::inherit(const Json::Value &state) {
-    using namespace config;
-    const auto rows = [&](const Json::Value &of, const char *field) -> const Json::Value & {
-        const Json::Value &found = need(of, field);
-        if (!found.isArray())
-            throw Error(std::string("field '") + field + "' is not a list");
-        return found;
-    };
-    const auto list = discovery::decode_node_list(need(state, "list"), names_, zones_);
-    std::vector<NodeId> out;
-    for (const Json::Value &id : rows(state, "cordons")) {
-        if (!id.isString())
-            throw Error("field 'cordons' is not a list of ids");
-        out.push_back(NodeId{names_.number(id.asString())});
-    }
-    std::set<std::string> fleet_out; // a predecessor from before has none
-    for (const Json::Value &id : state.isMember("fleet_cordons") ? state["fleet_cordons"] : Json::Value()) {
-        if (!id.isString())
-            throw Error("field 'fleet_cordons' is not a list of ids");
-        fleet_out.insert(id.asString());
-    }
-    HandoverState handover;
-    handover.started_at = need_integer(state, "born");
-    for (const Json::Value &row : rows(state, "limits")) {
-        const Json::Value &volume = need(row, "volume");
-        if (!volume.isUInt64())
-            throw Error("field 'volume' is not a number");
-        handover.quotas.push_back(
-            {VolumeId{volume.asUInt64()}, need_number(row, "units"), {}, number_or(row, "lent", 0)});
-    }
-    for (const Json::Value &row : rows(state, "nodes")) {
-        handover.nodes.push_back({NodeId{names_.number(need_text(row, "id"))},
-                                  need_integer(row, "since"),
-                                  flag_or(row, "declared", false),
-                                  {},
-                                  need_number(row, "sum"),
-                                  need_number(row, "weight"),
-                                  need_integer(row, "stamp")});
-        for (const Json::Value &one : rows(row, "spent"))
-            handover.nodes.back().slow_start_sends.push_back({need_integer(one, "at"),
-                                                              need_number(one, "units"),
-                                                              static_cast<int>(need_integer(one, "layer"))});
-    }
-    for (const NodeId node : out)
-        tell(endpoints_.cordon(node));
-    cordon_fleet(fleet_out);
-    told(list);
+Json::Value EndpointRegistry::handover_state() const {
+    RegistryState state;
+    state.revision = revision_;
+    for (const auto &[node, entry] : endpoints_.entries())
+        state.nodes.push_back({entry, addresses_.at(node)});
+    state.cordons = endpoints_.out();
+    state.fleet_cordons = endpoints_.fleet_out();
     for (const auto &dispatcher : dispatchers_)
-        dispatcher->restore(handover);
+        state.dispatchers.push_back(dispatcher->handover_state());
+    return encode(state, names_, zones_);
 }
 
-void EndpointRegistry::retire(bool on) {
+void EndpointRegistry::restore(const Json::Value &state) {
+    const RestoredRegistryState restored = decode_registry_state(state, names_, zones_);
+    for (const NodeId node : restored.cordons)
+        notify_dispatchers(endpoints_.cordon(node));
+    set_fleet_cordons(restored.fleet_cordons);
+    apply(restored.list);
     for (const auto &dispatcher : dispatchers_)
-        dispatcher->retire(on);
-    if (!on)
+        dispatcher->restore(restored.handover);
+}
+
+void EndpointRegistry::drain_for_successor(bool draining) {
+    for (const auto &dispatcher : dispatchers_)
+        dispatcher->retire(draining);
+    if (!draining)
         return;
     for (const auto &[node, entry] : endpoints_.entries())
         ports_.close_idle(node);
 }
 
-std::size_t EndpointRegistry::avoided() const {
-    return static_cast<std::size_t>(
-        std::count_if(endpoints_.entries().begin(), endpoints_.entries().end(), [&](const auto &listed) {
-            return std::any_of(dispatchers_.begin(), dispatchers_.end(),
-                               [&](const auto &dispatcher) { return dispatcher->is_avoided(listed.first); });
-        }));
+std::size_t EndpointRegistry::ready_nodes() const {
+    const auto is_ready = [&](const auto &listed) {
+        const auto &[node, entry] = listed;
+        return entry.state == NodeState::Ready && !endpoints_.cordoned(node) && is_allowed(node);
+    };
+    const auto &entries = endpoints_.entries();
+    return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), is_ready));
+}
+
+std::size_t EndpointRegistry::avoided_nodes() const {
+    const auto is_avoided = [&](const auto &listed) {
+        return std::any_of(dispatchers_.begin(), dispatchers_.end(),
+                           [&](const auto &dispatcher) { return dispatcher->is_avoided(listed.first); });
+    };
+    const auto &entries = endpoints_.entries();
+    return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), is_avoided));
 }
-std::size_t EndpointRegistry::open() const {
-    std::size_t all = 0;
+
+std::size_t EndpointRegistry::open_requests() const {
+    std::size_t open = 0;
     for (const auto &dispatcher : dispatchers_)
-        all += dispatcher->open();
-    return all;
+        open += dispatcher->open();
+    return open;
 }
 
 } // namespace marblewood::net
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -1,8 +1,8 @@
 // The bytes of served lists and documents, of the reports in their queries, and of datagrams between brokers:
 // what an older version wrote has to be read, and what is written may not change.
 #include "config/operations.hpp"
+#include "gossip/gossip_transport.hpp"
 #include "net/lists/codec.hpp"
-#include "net/peers/peers.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <filesystem>
@@ -117,23 +117,23 @@
 };
 
 TEST_F(GossipFormat, DatagramsCarryTheMessageAlone) {
-    net::peers::Peers peers(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
-                            [](PeerMessage) {});
+    gossip::GossipTransport transport(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
+                                      [](PeerMessage) {});
     const std::string message("\x01\x00\xff text", 8);
-    peers.tell(0, message);
+    transport.send(0, message);
     char data[512];
     const std::size_t size = receiver_.receive(boost::asio::buffer(data));
     EXPECT_EQ(std::string(data, size), message);
-    EXPECT_EQ(peers.sent(), 1u);
-    EXPECT_EQ(peers.bytes(), message.size());
+    EXPECT_EQ(transport.datagrams_sent(), 1u);
+    EXPECT_EQ(transport.bytes_sent(), message.size());
 }
 
 TEST_F(GossipFormat, TheLongestDatagramHas256Bytes) {
-    net::peers::Peers peers(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
-                            [](PeerMessage) {});
-    peers.tell(0, std::string(257, 'x'));
-    EXPECT_EQ(peers.sent(), 0u);
-    peers.tell(0, std::string(256, 'y'));
+    gossip::GossipTransport transport(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
+                                      [](PeerMessage) {});
+    transport.send(0, std::string(257, 'x'));
+    EXPECT_EQ(transport.datagrams_sent(), 0u);
+    transport.send(0, std::string(256, 'y'));
     char data[512];
     EXPECT_EQ(receiver_.receive(boost::asio::buffer(data)), 256u);
     EXPECT_EQ(data[0], 'y');
@@ -142,11 +142,11 @@
 TEST_F(GossipFormat, AReceivedDatagramIsTheMessageOfItsSender) {
     std::optional<PeerMessage> received;
     const asio_udp::endpoint receiver = receiver_.local_endpoint();
-    const net::peers::Peers peers(std::move(receiver_), {receiver, sender_.local_endpoint()}, std::nullopt,
-                                  [&](PeerMessage message) {
-                                      received = std::move(message);
-                                      io_.stop();
-                                  });
+    const gossip::GossipTransport transport(std::move(receiver_), {receiver, sender_.local_endpoint()},
+                                            std::nullopt, [&](PeerMessage message) {
+                                                received = std::move(message);
+                                                io_.stop();
+                                            });
     sender_.send_to(boost::asio::buffer("hello", 5), receiver);
     io_.run();
     ASSERT_TRUE(received);
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -10,6 +10,6 @@
 linted=$(git ls-files 'src/distribution/*.cpp' 'src/overload/*.cpp' 'src/net/lists/*.cpp' 'src/lab/scale/*.cpp' \
     'src/app/*.cpp' src/net/nvme/front.cpp src/config/distribution.cpp src/config/operations.cpp src/lab/process.cpp \
     src/core/request_dispatcher.cpp src/core/request_log.cpp 'src/admin/*.cpp' src/net/resp/front.cpp src/net/session.cpp \
-    src/net/clients.cpp src/net/eviction_order.cpp 'src/discovery/*.cpp' 'src/hot_restart/*.cpp')
+    src/net/clients.cpp src/net/eviction_order.cpp 'src/discovery/*.cpp' 'src/hot_restart/*.cpp' 'src/gossip/*.cpp' src/net/endpoint_registry.cpp src/net/registry_state.cpp)
 echo "$linted" | xargs -P "$(nproc)" -n 2 clang-tidy --quiet --extra-arg=-Wno-unknown-warning-option -p "$build" 2>/dev/null
 echo "formatter: ${#sources[@]} files; linter: $(echo "$linted" | wc -l) files"
