--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -4,9 +4,10 @@
 #include "config/distribution.hpp"
 #include "config/operations.hpp"
 #include "core/log.hpp"
+#include "list_distribution/document_watch.hpp"
+#include "list_distribution/list_codec.hpp"
+#include "list_distribution/list_server.hpp"
 #include "net/clients.hpp"
-#include "net/lists/document_watch.hpp"
-#include "net/lists/list_server.hpp"
 
 #include <boost/asio/signal_set.hpp>
 #include <random>
@@ -20,8 +21,8 @@
 namespace {
 
 using discovery::DiscoveryClient;
-using net::lists::Channel;
-using net::lists::ListServer;
+using list_distribution::Channel;
+using list_distribution::ListServer;
 
 class Figures {
 public:
@@ -71,9 +72,9 @@
 }
 
 void put_traffic(Figures &figures, const ListServer &server, const discovery::DiscoveryMetrics &parent) {
-    const auto &own = server.figures();
+    const auto &own = server.metrics();
     figures.count("accepted", own.accepted);
-    figures.count("turned_away", own.turned_away);
+    figures.count("turned_away", own.rejected);
     figures.count("malformed_calls", own.malformed);
     figures.count("received_bytes", own.received_bytes);
     figures.count("sent_bytes", own.sent_bytes);
@@ -102,7 +103,7 @@
 public:
     DistributorProcess(const config::DistributorConfig &config, std::uint64_t seed)
         : config_(config), server_(io_, deadlines_, net::listen_at(io_, listen_address(config)),
-                                   config.limits, config.most_removed, config.most_callers) {
+                                   {config.limits, config.most_removed, config.most_callers}) {
         watch_nodes(seed);
         if (!config.document_file.empty())
             load_documents();
@@ -138,13 +139,13 @@
         auto parents = selector(config_.parents, seed);
         const std::string first = parents.current().address;
         nodes_watch_.emplace(
-            io_, deadlines_, net::lists::shared_service(seed),
+            io_, deadlines_, list_distribution::shared_service(seed),
             discovery::SourceAddress{address<tcp::endpoint>(first, "parents.address"), first},
             discovery::kNoRevision, discovery::node_list(nodes_, zones_),
             [this](const discovery::ListResponse &reading) {
                 nodes_.forget_if([](std::uint32_t) { return true; }); // names of one answer at a time
                 zones_.forget_if([](std::uint32_t) { return true; });
-                take(Channel::Nodes, net::lists::to_update(reading));
+                take(Channel::Nodes, list_distribution::to_update(reading));
             });
         nodes_watch_->use_distributors(std::move(parents));
     }
@@ -153,21 +154,21 @@
         auto parents = selector(config_.document_parents, seed);
         const std::string first = parents.current().address;
         discovery::WatchedResource feed{
-            net::lists::kDocumentsPath, net::lists::read_documents, [this] {
+            list_distribution::kDocumentsPath, list_distribution::decode_documents, [this] {
                 const auto below = server_.reports().subtree(clock_.now());
-                return spell(net::lists::Report{config_.name, std::nullopt, below});
+                return encode_query(list_distribution::Report{config_.name, std::nullopt, below});
             }};
         documents_watch_.emplace(
-            io_, deadlines_, net::lists::shared_service(seed),
+            io_, deadlines_, list_distribution::shared_service(seed),
             discovery::SourceAddress{address<tcp::endpoint>(first, "documents.parents.address"), first},
             discovery::kNoRevision, std::move(feed), [this](const discovery::ListResponse &reading) {
-                take(Channel::Documents, net::lists::to_update(reading));
+                take(Channel::Documents, list_distribution::to_update(reading));
             });
         documents_watch_->use_distributors(std::move(parents));
     }
 
     void take(Channel channel, const distribution::Update &update) {
-        if (server_.take(channel, update) == distribution::Taken::Older)
+        if (server_.publish(channel, update) == distribution::Taken::Older)
             core::log("revision {} is not above the one that is held", update.revision);
     }
 
@@ -181,7 +182,7 @@
         take(Channel::Documents,
              {file.version,
               true,
-              {net::lists::document_member(config::kOperationsDocument, file.operations)}});
+              {list_distribution::document_member(config::kOperationsDocument, file.operations)}});
         core::log("documents: version {}", file.version);
     }
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -5,12 +5,12 @@
 #include "core/request_dispatcher.hpp"
 #include "gossip/gossip_transport.hpp"
 #include "hot_restart/hot_restart.hpp"
+#include "list_distribution/document_watch.hpp"
 #include "net/address.hpp"
 #include "net/cells/residence.hpp"
 #include "net/clients.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/lists/document_watch.hpp"
 #include "net/nvme/front.hpp"
 #include "net/otlp/exporter.hpp"
 #include "net/resp/front.hpp"
@@ -136,7 +136,7 @@
     };
 
     std::optional<discovery::DiscoveryClient> discovery;
-    std::optional<net::lists::DocumentWatch> documents;
+    std::optional<list_distribution::DocumentWatch> documents;
     std::optional<gossip::GossipTransport> peers;
     core::DispatcherCallbacks around;
     around.send_peer_message = [&](std::optional<int> peer, const std::string &data) {
@@ -315,7 +315,7 @@
                                       client_figures, open_clients, closing_clients});
         if (documents)
             text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
-                                documents->in_force(), documents->refused());
+                                documents->applied_version(), documents->rejected());
         if (residence)
             text += residence->stats();
         return text;
--- a/src/lab/scale/hollow_broker.hpp
+++ b/src/lab/scale/hollow_broker.hpp
@@ -4,8 +4,8 @@
 
 #include "config/distribution.hpp"
 #include "gossip/gossip_transport.hpp"
+#include "list_distribution/document_watch.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/lists/document_watch.hpp"
 
 #include <map>
 
@@ -66,7 +66,7 @@
     std::optional<gossip::GossipTransport> peers_;
     std::optional<discovery::DiscoveryClient> discovery_;
     std::int64_t revision_ = 0;
-    std::optional<net::lists::DocumentWatch> documents_;
+    std::optional<list_distribution::DocumentWatch> documents_;
     std::vector<Adoption> adopted_, configured_;
     int went_back_ = 0;
 };
--- a/src/lab/scale/list_source.cpp
+++ b/src/lab/scale/list_source.cpp
@@ -1,7 +1,7 @@
 #include "lab/scale/list_source.hpp"
 
 #include "lab/helpers.hpp"
-#include "net/lists/codec.hpp"
+#include "list_distribution/list_codec.hpp"
 
 #include <fmt/format.h>
 #include <numeric>
@@ -28,7 +28,7 @@
 ListSource::ListSource(asio::io_context &io, core::Deadlines &deadlines, const FleetSize &size,
                        std::uint64_t seed)
     : deadlines_(deadlines), random_(stream(seed, 20)),
-      server_(io, deadlines, any_port(io, port_), {kUnbounded, kUnbounded}, kMostRemoved, kMostCallers) {
+      server_(io, deadlines, any_port(io, port_), {{kUnbounded, kUnbounded}, kMostRemoved, kMostCallers}) {
     for (int n = 0; n < size.nodes; ++n) {
         const std::string id = fmt::format("s-{:08x}", static_cast<std::uint32_t>(random_()));
         nodes_.push_back({id, fmt::format(R"("id":"{}","host_port":"127.0.0.1:{}","locality":"zone-{}",)"
@@ -45,7 +45,7 @@
 }
 
 std::string ListSource::whole() const {
-    return net::lists::spell(server_.log(net::lists::Channel::Nodes).whole());
+    return list_distribution::encode(server_.log(list_distribution::Channel::Nodes).whole());
 }
 
 void ListSource::publish(const std::vector<std::size_t> &changed, const std::string &event, bool complete) {
@@ -54,7 +54,7 @@
     for (const std::size_t number : changed)
         update.members.push_back(member(nodes_[number]));
     published_.push_back({revision, deadlines_.clock.now(), event, changed.size()});
-    server_.take(net::lists::Channel::Nodes, update);
+    server_.publish(list_distribution::Channel::Nodes, update);
 }
 
 void ListSource::change_one() {
--- a/src/lab/scale/list_source.hpp
+++ b/src/lab/scale/list_source.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "lab/scale/plan.hpp"
-#include "net/lists/list_server.hpp"
+#include "list_distribution/list_server.hpp"
 
 #include <random>
 
@@ -32,8 +32,10 @@
     void bring_back(const std::string &event);
 
     const std::vector<Published> &published() const { return published_; }
-    const net::lists::ListServerFigures &figures() const { return server_.figures(); }
-    const distribution::Delivery &delivery() const { return server_.delivery(net::lists::Channel::Nodes); }
+    const list_distribution::ListServerMetrics &figures() const { return server_.metrics(); }
+    const distribution::Delivery &delivery() const {
+        return server_.delivery(list_distribution::Channel::Nodes);
+    }
 
 private:
     struct Node {
@@ -50,7 +52,7 @@
     std::vector<std::size_t> removed_;
     std::vector<Published> published_;
     int port_ = 0;
-    net::lists::ListServer server_;
+    list_distribution::ListServer server_;
 };
 
 } // namespace marblewood::lab::scale
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -5,7 +5,7 @@
 #include "distribution/delivery.hpp"
 #include "distribution/distributor_selector.hpp"
 #include "distribution/report_book.hpp"
-#include "net/lists/codec.hpp"
+#include "list_distribution/list_call.hpp"
 
 #include <cmath>
 #include <deque>
@@ -426,23 +426,24 @@
 }
 
 TEST(ListCodec, ReadsTheCallsThatItSpellsAndRefusesOthers) {
-    namespace lists = net::lists;
+    namespace lists = list_distribution;
     SubtreeReport subtree{{{3, 100}, {4, 7}}, {{"n7", 5'000'000}}};
     const lists::Report report{"d 1", std::nullopt, subtree};
-    const auto call = lists::read_call("/v1/documents?since=4&timeout_ms=90000&" + lists::spell(report));
+    const auto call =
+        lists::parse_call("/v1/documents?since=4&timeout_ms=90000&" + lists::encode_query(report));
     ASSERT_TRUE(call);
     EXPECT_EQ(call->channel, lists::Channel::Documents);
     EXPECT_EQ(call->since, 4);
-    EXPECT_EQ(call->wait, lists::kLongestWait);
+    EXPECT_EQ(call->wait, lists::kMaxPollTime);
     EXPECT_EQ(call->report.caller, "d_1");
     ASSERT_TRUE(call->report.subtree);
     EXPECT_EQ(call->report.subtree->brokers, subtree.brokers);
     ASSERT_EQ(call->report.subtree->lacking.size(), 1u);
     EXPECT_EQ(call->report.subtree->lacking[0].for_us, 5'000'000);
-    EXPECT_FALSE(lists::read_call("/v1/other?since=1"));
+    EXPECT_FALSE(lists::parse_call("/v1/other?since=1"));
     for (const char *const wrong : {"since=", "since=-1", "since=1x", "timeout_ms=9e9", "below=3", "below=:1",
                                     "below=x:1", "lacking=n1:", "applied=one"})
-        EXPECT_THROW(lists::read_call(std::string("/v1/documents?") + wrong), std::runtime_error) << wrong;
+        EXPECT_THROW(lists::parse_call(std::string("/v1/documents?") + wrong), std::runtime_error) << wrong;
 }
 
 std::vector<Distributor> distributors(int count, int regions) {
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -2,7 +2,8 @@
 // what an older version wrote has to be read, and what is written may not change.
 #include "config/operations.hpp"
 #include "gossip/gossip_transport.hpp"
-#include "net/lists/codec.hpp"
+#include "list_distribution/list_call.hpp"
+#include "list_distribution/list_codec.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <filesystem>
@@ -13,7 +14,7 @@
 namespace marblewood {
 namespace {
 
-namespace lists = net::lists;
+namespace lists = list_distribution;
 using asio_udp = boost::asio::ip::udp;
 
 const std::filesystem::path kFixtures = std::filesystem::path(MARBLEWOOD_FIXTURES) / "lists";
@@ -55,14 +56,14 @@
 TEST(ListFormat, CompleteListIsServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
     ASSERT_EQ(log.take(read_nodes("nodes_complete.json")), distribution::Taken::Yes);
-    EXPECT_EQ(lists::spell(log.whole()) + "\n", read_file("nodes_complete_served.json"));
+    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("nodes_complete_served.json"));
 }
 
 TEST(ListFormat, ChangesAreServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
     log.take(read_nodes("nodes_complete.json"));
     ASSERT_EQ(log.take(read_nodes("nodes_changes.json")), distribution::Taken::Yes);
-    EXPECT_EQ(lists::spell(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
+    EXPECT_EQ(lists::encode(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
 }
 
 TEST(ListFormat, ServedListIsReadAsItWasSent) {
@@ -88,11 +89,11 @@
               (std::set<std::string>{"s-5be2a07c", "s-77c1d0aa"}));
     distribution::ChangeLog log(kMaxRemoved);
     log.take({file.version, true, {lists::document_member(config::kOperationsDocument, file.operations)}});
-    EXPECT_EQ(lists::spell(log.whole()) + "\n", read_file("documents_served.json"));
+    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("documents_served.json"));
 }
 
 TEST(ListFormat, ServedDocumentsAreRead) {
-    const auto answer = lists::read_documents(config::parse(read_file("documents_served.json")));
+    const auto answer = lists::decode_documents(config::parse(read_file("documents_served.json")));
     EXPECT_EQ(answer.revision, 7);
     EXPECT_EQ(answer.update.kind, ListUpdate::Kind::Full);
     ASSERT_EQ(answer.members.size(), 1u);
@@ -101,9 +102,9 @@
 }
 
 TEST(ListFormat, ReportsAreWrittenInTheseBytes) {
-    EXPECT_EQ(lists::spell(lists::Report{"n0", 12, std::nullopt}), "caller=n0&applied=12");
+    EXPECT_EQ(lists::encode_query(lists::Report{"n0", 12, std::nullopt}), "caller=n0&applied=12");
     const distribution::SubtreeReport subtree{{{3, 100}, {4, 7}}, {{"n7", 5'000'000}, {"n 8", 1'500}}};
-    EXPECT_EQ(lists::spell(lists::Report{"d 1", std::nullopt, subtree}),
+    EXPECT_EQ(lists::encode_query(lists::Report{"d 1", std::nullopt, subtree}),
               "caller=d_1&below=3:100,4:7&lacking=n7:5000,n_8:1");
 }
 
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -7,7 +7,7 @@
 mapfile -t sources < <(git ls-files '*.cpp' '*.hpp')
 clang-format --dry-run --Werror "${sources[@]}"
 
-linted=$(git ls-files 'src/distribution/*.cpp' 'src/overload/*.cpp' 'src/net/lists/*.cpp' 'src/lab/scale/*.cpp' \
+linted=$(git ls-files 'src/distribution/*.cpp' 'src/overload/*.cpp' 'src/list_distribution/*.cpp' 'src/lab/scale/*.cpp' \
     'src/app/*.cpp' src/net/nvme/front.cpp src/config/distribution.cpp src/config/operations.cpp src/lab/process.cpp \
     src/core/request_dispatcher.cpp src/core/request_log.cpp 'src/admin/*.cpp' src/net/resp/front.cpp src/net/session.cpp \
     src/net/clients.cpp src/net/eviction_order.cpp 'src/discovery/*.cpp' 'src/hot_restart/*.cpp' 'src/gossip/*.cpp' src/net/endpoint_registry.cpp src/net/registry_state.cpp)
