--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -191,7 +191,7 @@
         if (distribution.documents)
             documents_.emplace(io_, deadlines_, selector, config_.name, config_.settings.seed,
                                [this](const config::Operations &operations, distribution::Revision) {
-                                   endpoints_.cordon_fleet(operations.cordons);
+                                   endpoints_.set_fleet_cordons(operations.cordons);
                                    report_ready_nodes();
                                });
         discovery_->use_distributors(std::move(selector));
@@ -201,13 +201,13 @@
 }
 
 void Broker::on_endpoints(const discovery::ListResponse &response) {
-    endpoints_.told(response);
+    endpoints_.apply(response);
     report_ready_nodes();
 }
 
 void Broker::report_ready_nodes() {
     if (cell_router_)
-        cell_router_->set_ready_nodes(endpoints_.ready());
+        cell_router_->set_ready_nodes(endpoints_.ready_nodes());
 }
 
 /// With cells, only nodes of this broker's cell are used.
@@ -215,7 +215,7 @@
     if (!cell_router_)
         return;
     cell_router_->on_nodes_changed = [this] {
-        endpoints_.confine([this](const std::string &node) { return cell_router_->owns_node(node); });
+        endpoints_.set_node_filter([this](const std::string &node) { return cell_router_->owns_node(node); });
         report_ready_nodes();
     };
     cell_router_->on_nodes_changed();
@@ -242,7 +242,7 @@
 
 void Broker::send_to_peers(std::optional<int> peer, const std::string &data) {
     if (peers_)
-        peers_->tell(peer, data);
+        peers_->send(peer, data);
 }
 
 void Broker::on_peer_message(const PeerMessage &message) {
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -10,14 +10,14 @@
 #include "config/config.hpp"
 #include "core/blocked_signal.hpp"
 #include "core/request_dispatcher.hpp"
+#include "gossip/gossip_transport.hpp"
+#include "list_distribution/document_watch.hpp"
 #include "net/cells/cell_router.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/lists/document_watch.hpp"
 #include "net/nvme/mapping.hpp"
 #include "net/nvme/node_port.hpp"
 #include "net/otlp/exporter.hpp"
-#include "net/peers/peers.hpp"
 #include "net/resp/node_port.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -96,8 +96,8 @@
     Predecessor predecessor_;
 
     std::optional<discovery::DiscoveryClient> discovery_; // set up below endpoints_, to which it reports
-    std::optional<net::lists::DocumentWatch> documents_;  // the same
-    std::optional<net::peers::Peers> peers_;              // reports to dispatchers_
+    std::optional<list_distribution::DocumentWatch> documents_;  // the same
+    std::optional<gossip::GossipTransport> peers_;              // reports to dispatchers_
     net::EndpointRegistry::Dispatchers dispatchers_;
     core::Metrics metrics_;
     std::optional<net::otlp::Exporter> exporter_;
--- a/src/app/broker_stats.cpp
+++ b/src/app/broker_stats.cpp
@@ -33,17 +33,17 @@
     costs.turned_away = from_.metrics.malformed_requests;
     costs.refused = from_.metrics.total(Kind::Refused);
     costs.unsent = from_.metrics.refused_unsent;
-    costs.datagrams = from_.peers ? from_.peers->sent() : 0;
-    costs.datagram_bytes = from_.peers ? from_.peers->bytes() : 0;
+    costs.datagrams = from_.peers ? from_.peers->datagrams_sent() : 0;
+    costs.datagram_bytes = from_.peers ? from_.peers->bytes_sent() : 0;
     costs.overload = overload_counts(from_.dispatchers);
     return costs;
 }
 
 std::string BrokerStats::text() const {
     admin::BrokerStatus status;
-    status.open_requests = from_.endpoints.open();
+    status.open_requests = from_.endpoints.open_requests();
     status.nodes = from_.endpoints.size();
-    status.avoided_nodes = from_.endpoints.avoided();
+    status.avoided_nodes = from_.endpoints.avoided_nodes();
     status.costs = costs();
     status.clients = from_.clients.metrics();
     status.clients_open = from_.clients.open();
@@ -51,7 +51,7 @@
     std::string text = admin::format_statistics(from_.metrics, from_.settings, status);
     if (from_.documents)
         text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
-                            from_.documents->in_force(), from_.documents->refused());
+                            from_.documents->applied_version(), from_.documents->rejected());
     if (from_.cell_router)
         text += from_.cell_router->stats();
     return text;
--- a/src/app/broker_stats.hpp
+++ b/src/app/broker_stats.hpp
@@ -5,11 +5,11 @@
 #include "app/client_servers.hpp"
 #include "core/metrics.hpp"
 #include "discovery/discovery_client.hpp"
+#include "gossip/gossip_transport.hpp"
+#include "list_distribution/document_watch.hpp"
 #include "net/cells/cell_router.hpp"
 #include "net/costs.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/lists/document_watch.hpp"
-#include "net/peers/peers.hpp"
 #include "net/sockets.hpp"
 
 #include <optional>
@@ -28,8 +28,8 @@
         const net::EndpointRegistry::Dispatchers &dispatchers;
         const ClientServers &clients;
         const std::optional<discovery::DiscoveryClient> &discovery;
-        const std::optional<net::lists::DocumentWatch> &documents;
-        const std::optional<net::peers::Peers> &peers;
+        const std::optional<list_distribution::DocumentWatch> &documents;
+        const std::optional<gossip::GossipTransport> &peers;
         const std::optional<net::cells::CellRouter> &cell_router;
     };
 
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -5,8 +5,9 @@
 #include "config/operations.hpp"
 #include "core/log.hpp"
 #include "net/clients.hpp"
-#include "net/lists/document_watch.hpp"
-#include "net/lists/list_server.hpp"
+#include "list_distribution/document_watch.hpp"
+#include "list_distribution/list_codec.hpp"
+#include "list_distribution/list_server.hpp"
 
 #include <algorithm>
 #include <boost/asio/signal_set.hpp>
@@ -21,8 +22,8 @@
 namespace {
 
 using discovery::DiscoveryClient;
-using net::lists::Channel;
-using net::lists::ListServer;
+using list_distribution::Channel;
+using list_distribution::ListServer;
 
 tcp::endpoint listen_address(const config::DistributorConfig &config) {
     return address<tcp::endpoint>(config.listen, "listen");
@@ -75,7 +76,7 @@
     void watch_nodes(std::uint64_t seed) {
         auto parents = selector(config_.parents, seed);
         const std::string first_parent = parents.current().address;
-        nodes_watch_.emplace(io_, deadlines_, net::lists::shared_service(seed),
+        nodes_watch_.emplace(io_, deadlines_, list_distribution::shared_service(seed),
                              source_address(first_parent, "parents.address"), discovery::kNoRevision,
                              discovery::node_list(node_names_, zone_names_),
                              [this](const discovery::ListResponse &response) { on_nodes(response); });
@@ -87,30 +88,30 @@
     void on_nodes(const discovery::ListResponse &response) {
         node_names_.forget_if([](std::uint32_t) { return true; });
         zone_names_.forget_if([](std::uint32_t) { return true; });
-        publish(Channel::Nodes, net::lists::to_update(response));
+        publish(Channel::Nodes, list_distribution::to_update(response));
     }
 
     void watch_documents(std::uint64_t seed) {
         auto parents = selector(config_.document_parents, seed);
         const std::string first_parent = parents.current().address;
-        discovery::WatchedResource documents{net::lists::kDocumentsPath, net::lists::read_documents,
+        discovery::WatchedResource documents{list_distribution::kDocumentsPath, list_distribution::decode_documents,
                                              [this] { return report_to_parent(); }};
-        documents_watch_.emplace(io_, deadlines_, net::lists::shared_service(seed),
+        documents_watch_.emplace(io_, deadlines_, list_distribution::shared_service(seed),
                                  source_address(first_parent, "documents.parents.address"),
                                  discovery::kNoRevision, std::move(documents),
                                  [this](const discovery::ListResponse &response) {
-                                     publish(Channel::Documents, net::lists::to_update(response));
+                                     publish(Channel::Documents, list_distribution::to_update(response));
                                  });
         documents_watch_->use_distributors(std::move(parents));
     }
 
     std::string report_to_parent() const {
         const auto subtree = server_.reports().subtree(clock_.now());
-        return spell(net::lists::Report{config_.name, std::nullopt, subtree});
+        return encode_query(list_distribution::Report{config_.name, std::nullopt, subtree});
     }
 
     void publish(Channel channel, const distribution::Update &update) {
-        if (server_.take(channel, update) == distribution::Taken::Older)
+        if (server_.publish(channel, update) == distribution::Taken::Older)
             core::log("update_ignored revision={} reason=not_newer", update.revision);
     }
 
@@ -124,7 +125,7 @@
         publish(Channel::Documents,
                 {file.version,
                  true,
-                 {net::lists::document_member(config::kOperationsDocument, file.operations)}});
+                 {list_distribution::document_member(config::kOperationsDocument, file.operations)}});
         core::log("documents_loaded version={}", file.version);
     }
 
--- a/src/app/distributor_stats.cpp
+++ b/src/app/distributor_stats.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-using net::lists::Channel;
-using net::lists::ListServer;
+using list_distribution::Channel;
+using list_distribution::ListServer;
 
 constexpr Micros kMillisecond = 1000; // us
 
@@ -62,9 +62,9 @@
 }
 
 void append_traffic(MetricsText &text, const ListServer &server, const discovery::DiscoveryMetrics &parent) {
-    const auto &own = server.figures();
+    const auto &own = server.metrics();
     text.counter("accepted", own.accepted);
-    text.counter("turned_away", own.turned_away);
+    text.counter("turned_away", own.rejected);
     text.counter("malformed_calls", own.malformed);
     text.counter("received_bytes", own.received_bytes);
     text.counter("sent_bytes", own.sent_bytes);
--- a/src/app/predecessor.cpp
+++ b/src/app/predecessor.cpp
@@ -37,7 +37,7 @@
         return;
     try {
         const Json::Value &state = takeover_->parent.state;
-        endpoints.inherit(config::need(state, "fleet"));
+        endpoints.restore(config::need(state, "fleet"));
         quiesce.active = config::flag_or(state, "quiesced", false);
         quiesce.since = clock.now() - config::integer_or(state, "quiesced_us", 0);
     } catch (const config::Error &error) {
--- a/src/app/process_handover.cpp
+++ b/src/app/process_handover.cpp
@@ -44,7 +44,7 @@
 hot_restart::ParentState ProcessHandover::release_state() {
     parts_.clients.pause_accepting();
     if (parts_.peers)
-        parts_.peers->listen(false);
+        parts_.peers->stop_receiving();
     hot_restart::ParentState released;
     released.state = state_for_successor();
     const auto leave_socket = [&](const char *name, int socket) {
@@ -55,7 +55,7 @@
         leave_socket("nvme", nvme->listener());
     if (parts_.peers)
         leave_socket("peers", parts_.peers->descriptor());
-    parts_.endpoints.retire(true);
+    parts_.endpoints.drain_for_successor(true);
     share_limits(true, 0);
     return released;
 }
@@ -68,7 +68,7 @@
     state["quiesced"] = parts_.quiesce.active;
     state["quiesced_us"] = static_cast<Json::Int64>(quiesced_since ? now - *quiesced_since : 0);
     state["clients"] = parts_.sockets.clients();
-    state["fleet"] = parts_.endpoints.state();
+    state["fleet"] = parts_.endpoints.handover_state();
     return state;
 }
 
@@ -80,11 +80,11 @@
 /// The successor has gone.
 void ProcessHandover::resume() {
     parts_.clients.resp().hand_over(nullptr);
-    parts_.endpoints.retire(false);
+    parts_.endpoints.drain_for_successor(false);
     share_limits(false, 0);
     parts_.clients.resume_accepting();
     if (parts_.peers)
-        parts_.peers->listen(true);
+        parts_.peers->start_receiving();
 }
 
 /// While two processes serve, each has its part of the limits on sockets and memory.
--- a/src/app/process_handover.hpp
+++ b/src/app/process_handover.hpp
@@ -6,9 +6,9 @@
 #include "app/client_servers.hpp"
 #include "app/predecessor.hpp"
 #include "core/memory_budget.hpp"
+#include "gossip/gossip_transport.hpp"
 #include "hot_restart/hot_restart.hpp"
 #include "net/endpoint_registry.hpp"
-#include "net/peers/peers.hpp"
 #include "net/sockets.hpp"
 
 #include <functional>
@@ -29,7 +29,7 @@
         core::MemoryBudget &memory;
         net::EndpointRegistry &endpoints;
         ClientServers &clients;
-        std::optional<net::peers::Peers> &peers;
+        std::optional<gossip::GossipTransport> &peers;
         const QuiesceState &quiesce;
     };
     /// What operators told the successor; carried out here, too, while this process still has requests.
--- a/src/policy/quota_ledger.hpp
+++ b/src/policy/quota_ledger.hpp
@@ -37,13 +37,13 @@
 
     /// Tells other hosts, now and then, that requests of the volume come through this one.
     std::optional<SendPeerMessage> announce_demand(const RequestArrived &request, Micros now) {
-        return loans_.wants(volumes_.at(request.volume).rate_limit, request.volume, request.units, now);
+        return loans_.record_demand(volumes_.at(request.volume).rate_limit, request.volume, request.units, now);
     }
 
     /// Whether the rate limit allows the request now and leaves `spare` units.
     bool allows(const Request &request, Micros now, double spare = 0) const {
         return request.charged || !request.has_rate_limit() ||
-               loans_.left(volumes_.at(request.arrival.volume).rate_limit, now) >=
+               loans_.available(volumes_.at(request.arrival.volume).rate_limit, now) >=
                    request.arrival.units + spare;
     }
 
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -1,8 +1,9 @@
 // The bytes of served lists and documents, of the reports in their queries, and of datagrams between brokers:
 // what an older version wrote has to be read, and what is written may not change.
 #include "config/operations.hpp"
-#include "net/lists/codec.hpp"
-#include "net/peers/peers.hpp"
+#include "gossip/gossip_transport.hpp"
+#include "list_distribution/list_call.hpp"
+#include "list_distribution/list_codec.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <filesystem>
@@ -13,7 +14,7 @@
 namespace marblewood {
 namespace {
 
-namespace lists = net::lists;
+namespace lists = list_distribution;
 using asio_udp = boost::asio::ip::udp;
 
 const std::filesystem::path kFixtures = std::filesystem::path(MARBLEWOOD_FIXTURES) / "lists";
@@ -55,14 +56,14 @@
 TEST(ListFormat, CompleteListIsServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
     ASSERT_EQ(log.take(read_nodes("nodes_complete.json")), distribution::Taken::Yes);
-    EXPECT_EQ(lists::spell(log.whole()) + "\n", read_file("nodes_complete_served.json"));
+    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("nodes_complete_served.json"));
 }
 
 TEST(ListFormat, ChangesAreServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
     log.take(read_nodes("nodes_complete.json"));
     ASSERT_EQ(log.take(read_nodes("nodes_changes.json")), distribution::Taken::Yes);
-    EXPECT_EQ(lists::spell(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
+    EXPECT_EQ(lists::encode(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
 }
 
 TEST(ListFormat, ServedListIsReadAsItWasSent) {
@@ -88,11 +89,11 @@
               (std::set<std::string>{"s-5be2a07c", "s-77c1d0aa"}));
     distribution::ChangeLog log(kMaxRemoved);
     log.take({file.version, true, {lists::document_member(config::kOperationsDocument, file.operations)}});
-    EXPECT_EQ(lists::spell(log.whole()) + "\n", read_file("documents_served.json"));
+    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("documents_served.json"));
 }
 
 TEST(ListFormat, ServedDocumentsAreRead) {
-    const auto answer = lists::read_documents(config::parse(read_file("documents_served.json")));
+    const auto answer = lists::decode_documents(config::parse(read_file("documents_served.json")));
     EXPECT_EQ(answer.revision, 7);
     EXPECT_EQ(answer.update.kind, ListUpdate::Kind::Full);
     ASSERT_EQ(answer.members.size(), 1u);
@@ -101,9 +102,9 @@
 }
 
 TEST(ListFormat, ReportsAreWrittenInTheseBytes) {
-    EXPECT_EQ(lists::spell(lists::Report{"n0", 12, std::nullopt}), "caller=n0&applied=12");
+    EXPECT_EQ(lists::encode_query(lists::Report{"n0", 12, std::nullopt}), "caller=n0&applied=12");
     const distribution::SubtreeReport subtree{{{3, 100}, {4, 7}}, {{"n7", 5'000'000}, {"n 8", 1'500}}};
-    EXPECT_EQ(lists::spell(lists::Report{"d 1", std::nullopt, subtree}),
+    EXPECT_EQ(lists::encode_query(lists::Report{"d 1", std::nullopt, subtree}),
               "caller=d_1&below=3:100,4:7&lacking=n7:5000,n_8:1");
 }
 
@@ -117,23 +118,23 @@
 };
 
 TEST_F(GossipFormat, DatagramsCarryTheMessageAlone) {
-    net::peers::Peers peers(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
-                            [](PeerMessage) {});
+    gossip::GossipTransport transport(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
+                                      [](PeerMessage) {});
     const std::string message("\x01\x00\xff text", 8);
-    peers.tell(0, message);
+    transport.send(0, message);
     char data[512];
     const std::size_t size = receiver_.receive(boost::asio::buffer(data));
     EXPECT_EQ(std::string(data, size), message);
-    EXPECT_EQ(peers.sent(), 1u);
-    EXPECT_EQ(peers.bytes(), message.size());
+    EXPECT_EQ(transport.datagrams_sent(), 1u);
+    EXPECT_EQ(transport.bytes_sent(), message.size());
 }
 
 TEST_F(GossipFormat, TheLongestDatagramHas256Bytes) {
-    net::peers::Peers peers(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
-                            [](PeerMessage) {});
-    peers.tell(0, std::string(257, 'x'));
-    EXPECT_EQ(peers.sent(), 0u);
-    peers.tell(0, std::string(256, 'y'));
+    gossip::GossipTransport transport(std::move(sender_), {receiver_.local_endpoint()}, std::nullopt,
+                                      [](PeerMessage) {});
+    transport.send(0, std::string(257, 'x'));
+    EXPECT_EQ(transport.datagrams_sent(), 0u);
+    transport.send(0, std::string(256, 'y'));
     char data[512];
     EXPECT_EQ(receiver_.receive(boost::asio::buffer(data)), 256u);
     EXPECT_EQ(data[0], 'y');
@@ -142,11 +143,11 @@
 TEST_F(GossipFormat, AReceivedDatagramIsTheMessageOfItsSender) {
     std::optional<PeerMessage> received;
     const asio_udp::endpoint receiver = receiver_.local_endpoint();
-    const net::peers::Peers peers(std::move(receiver_), {receiver, sender_.local_endpoint()}, std::nullopt,
-                                  [&](PeerMessage message) {
-                                      received = std::move(message);
-                                      io_.stop();
-                                  });
+    const gossip::GossipTransport transport(std::move(receiver_), {receiver, sender_.local_endpoint()},
+                                            std::nullopt, [&](PeerMessage message) {
+                                                received = std::move(message);
+                                                io_.stop();
+                                            });
     sender_.send_to(boost::asio::buffer("hello", 5), receiver);
     io_.run();
     ASSERT_TRUE(received);
