--- a/tests/cells_net_test.cpp
+++ b/tests/cells_net_test.cpp
@@ -1,4 +1,5 @@
-// Cells as clients, nodes and operators meet them: a keeper and two brokers as processes, a node for each.
+/// \file
+/// Cells over sockets: a coordinator and two brokers as processes, with a node for each broker.
 #include "helper.hpp"
 
 #include <random>
@@ -9,7 +10,7 @@
 namespace {
 
 const std::string kVolume = "00000003b4d60021", kPiece = "7f3a9c21e0b4d655";
-// As the helper's, but with a short window, so that a broker soon vouches for the keys it has seen.
+// The helper's settings with a short deduplication window, so that a restarted broker soon knows all keys.
 std::string settings() {
     std::string text = kSettings;
     const auto change = [&](const std::string &from, const std::string &to) {
@@ -36,27 +37,29 @@
             R"("evacuate_drained":false,"cells":[)"
             R"({{"name":"a","capacity":1000,"brokers":[{{"name":"n-a","clients":"127.0.0.1:{}","link":"127.0.0.1:{}"}}],"nodes":["s-a"]}},)"
             R"({{"name":"b","capacity":1000,"brokers":[{{"name":"n-b","clients":"127.0.0.1:{}","link":"127.0.0.1:{}"}}],"nodes":["s-b"]}}]}}}})",
-            keeper_link, control, folder.string(), port_a, link_a, port_b, free_port());
+            coordinator_link, control, folder.string(), port_a, link_a, port_b, free_port());
         std::ofstream(folder / "operator.json") << operators;
-        start_keeper();
+        start_coordinator();
         start_a();
         start_b();
-        settled();
-        // Wherever the hash puts the volume, the tests begin with it in a.
+        await_quorum();
+        // Wherever the hash puts the volume, the tests begin with it in cell a.
         for (int n = 0; n < 1000 && where().find("cell a\n") == std::string::npos; ++n) {
             cells("POST", "move", kVolume + " a");
             std::this_thread::sleep_for(10ms);
         }
         assert(where().find("cell a\n") != std::string::npos);
-        idle();
+        await_no_migration();
     }
     ~Installation() {
-        keeper.kill(); // before the folder that they write to
-        broker_a.reset(), broker_b.reset();
+        coordinator.kill(); // before the folder that they write to
+        broker_a.reset();
+        broker_b.reset();
         std::filesystem::remove_all(folder);
     }
-    void start_keeper() {
-        keeper.start({"keeper", "--operator", folder / "operator.json"}, folder / "keeper.log", folder, 0);
+    void start_coordinator() {
+        coordinator.start({"keeper", "--operator", folder / "operator.json"}, folder / "keeper.log", folder,
+                          0);
     }
     void start_a() {
         broker_a.emplace(discovery, operators, settings(), std::filesystem::path(), port_a, "n-a");
@@ -69,8 +72,8 @@
         return operators_call(control, method, "cells/" + what, body);
     }
     std::string where() const { return cells("GET", "where/" + kVolume).second; }
-    // Both brokers say that they know their cell's node, and the keeper has heard them.
-    void settled() const {
+    // Until the coordinator has heard from both brokers that their node is ready.
+    void await_quorum() const {
         for (int n = 0; n < 1000; ++n, std::this_thread::sleep_for(10ms)) {
             const std::string list = cells("GET", "list").second;
             if (list.find("not settled") != std::string::npos)
@@ -83,19 +86,19 @@
         }
         assert(!"never settled");
     }
-    void idle() const { // no move is under way
+    void await_no_migration() const { // until no migration is under way
         for (int n = 0; n < 1500; ++n, std::this_thread::sleep_for(10ms))
             if (const auto [status, list] = cells("GET", "list");
                 status == 200 && list.find("moving") == std::string::npos)
                 return;
         assert(!"a move without end");
     }
-    // A move that must begin: as long as brokers don't vouch yet it goes back, and is asked for again.
+    // Retries the migration, which is aborted while a source may have forgotten keys.
     void move(const std::string &to) const {
         for (int n = 0; n < 10; ++n) {
-            idle();
+            await_no_migration();
             cells("POST", "move", kVolume + " " + to);
-            idle();
+            await_no_migration();
             if (where().find("cell " + to + "\n") != std::string::npos)
                 return;
         }
@@ -110,51 +113,53 @@
     const Discovery discovery;
     std::filesystem::path folder;
     const int control = free_port(), port_a = free_port(), port_b = free_port();
-    const int keeper_link = free_port(), link_a = free_port();
+    const int coordinator_link = free_port(), link_a = free_port();
     std::string operators;
-    Child keeper;
+    Child coordinator;
     std::optional<Program> broker_a, broker_b;
 };
 
-RespNode::Script says(const std::string &value) {
+RespNode::Script serving(const std::string &value) {
     return [value](const auto &, int) { return RespNode::served(value); };
 }
-std::string ask(const Program &broker, const std::string &command) {
+std::string request(const Program &broker, const std::string &command) {
     Socket client = broker.client();
     client.send(command);
     return client.value()->text;
 }
 
-void a_move_takes_the_volume_along_and_the_keeper_may_die() {
-    Installation all(says("a"), says("b"));
-    assert(ask(*all.broker_a, get(kPiece)) == "a");
-    assert(ask(*all.broker_b, get(kPiece)) == "a"); // forwarded to where it lives
-    all.move("b");
-    assert(ask(*all.broker_a, get(kPiece)) == "b");
-    assert(ask(*all.broker_b, get(kPiece)) == "b");
-    assert(all.where().find("pinned by an operator") != std::string::npos);
-    // Brokers go on without a keeper, and it comes back to what it knew.
-    const std::uint64_t before = all.epoch();
-    all.keeper.kill();
-    assert(ask(*all.broker_a, get(kPiece)) == "b");
-    assert(all.broker_a->call("GET", "cells/list").first == 503);
-    assert(all.broker_a->call("GET", "cells/here").second.find("cell a\n") != std::string::npos);
-    all.start_keeper();
-    all.settled();
-    assert(all.where().find("cell b\n") != std::string::npos && all.epoch() > before);
+void a_migration_survives_a_restart_of_the_coordinator() {
+    Installation installation(serving("a"), serving("b"));
+    assert(request(*installation.broker_a, get(kPiece)) == "a");
+    assert(request(*installation.broker_b, get(kPiece)) == "a"); // forwarded to where it lives
+    installation.move("b");
+    assert(request(*installation.broker_a, get(kPiece)) == "b");
+    assert(request(*installation.broker_b, get(kPiece)) == "b");
+    assert(installation.where().find("pinned by an operator") != std::string::npos);
+    // Brokers go on without a coordinator, which continues from its file.
+    const std::uint64_t before = installation.epoch();
+    installation.coordinator.kill();
+    assert(request(*installation.broker_a, get(kPiece)) == "b");
+    assert(installation.broker_a->call("GET", "cells/list").first == 503);
+    assert(installation.broker_a->call("GET", "cells/here").second.find("cell a\n") != std::string::npos);
+    installation.start_coordinator();
+    installation.await_quorum();
+    assert(installation.where().find("cell b\n") != std::string::npos && installation.epoch() > before);
     // Operators may call any broker.
-    assert(all.broker_a->call("GET", "cells/where/" + kVolume).second.find("cell b\n") != std::string::npos);
-    assert(all.broker_a->call("POST", "cells/move", kVolume + " nowhere").first == 409);
-    assert(all.broker_a->call("POST", "cells/where/" + kVolume).first == 405);
-    assert(all.broker_a->call("GET", "cells/nonsense").first == 404);
-    assert(all.broker_a->call("POST", "cells/pin", kVolume).second.find("already") != std::string::npos);
-    assert(all.broker_a->call("POST", "cells/pin", "nonsense").first == 409);
+    assert(installation.broker_a->call("GET", "cells/where/" + kVolume).second.find("cell b\n") !=
+           std::string::npos);
+    assert(installation.broker_a->call("POST", "cells/move", kVolume + " nowhere").first == 409);
+    assert(installation.broker_a->call("POST", "cells/where/" + kVolume).first == 405);
+    assert(installation.broker_a->call("GET", "cells/nonsense").first == 404);
+    assert(installation.broker_a->call("POST", "cells/pin", kVolume).second.find("already") !=
+           std::string::npos);
+    assert(installation.broker_a->call("POST", "cells/pin", "nonsense").first == 409);
 }
 
-// A request under way ends where it started; what comes meanwhile waits, and is served by the target.
-void what_comes_during_a_move_waits_for_it() {
+// An open request ends where it started; new ones wait and are served by the target.
+void requests_wait_for_a_migration() {
     std::atomic<bool> hold = false, go = false;
-    Installation all(
+    Installation installation(
         [&](const auto &, int) {
             if (hold) {
                 hold = false;
@@ -163,15 +168,17 @@
             }
             return RespNode::served("a");
         },
-        says("b"));
-    all.move("b"), all.move("a"); // from here on both vouch
+        serving("b"));
+    installation.move("b");
+    installation.move("a"); // from here on both know all keys
     hold = true;
-    Socket first = all.broker_a->client(), second = all.broker_a->client();
+    Socket first = installation.broker_a->client(), second = installation.broker_a->client();
     first.send(get(kPiece, 0, 5000));
     while (hold)
         std::this_thread::sleep_for(1ms);
-    assert(all.cells("POST", "move", kVolume + " b").first == 200);
-    for (int n = 0; all.broker_a->call("GET", "cells/here").second.find("fenced 1\n") == std::string::npos;
+    assert(installation.cells("POST", "move", kVolume + " b").first == 200);
+    for (int n = 0;
+         installation.broker_a->call("GET", "cells/here").second.find("fenced 1\n") == std::string::npos;
          ++n) {
         assert(n < 1000);
         std::this_thread::sleep_for(2ms);
@@ -183,16 +190,17 @@
     assert(second.value()->text == "b");
 }
 
-// A keyed write whose answer was lost before the fence, repeated by its client after the move, reaches the
-// node that saw it first.
-void a_keys_repeat_reaches_its_first_node() {
+// A write with an idempotency key that failed before the migration and is repeated after it reaches the node
+// of the first attempt.
+void a_repeat_reaches_the_node_of_the_first_attempt() {
     std::atomic<bool> lose = false;
-    Installation all(
+    Installation installation(
         [&](const std::vector<std::string> &words, int) {
             return words[0] == "OBJ.PUT" && lose ? std::string("-ERR failed\r\n") : RespNode::served("a");
         },
-        says("b"));
-    all.move("b"), all.move("a");
+        serving("b"));
+    installation.move("b");
+    installation.move("a");
     lose = true;
     const auto write = [&](const std::string &key) {
         return resp::command(
@@ -201,70 +209,73 @@
              "body"});
     };
     const std::string key = "5c0f6e1a2b3d4c59";
-    assert(ask(*all.broker_a, write(key)).starts_with("ERR"));
+    assert(request(*installation.broker_a, write(key)).starts_with("ERR"));
     lose = false;
-    const std::size_t seen_b = all.node_b.taken().size();
-    assert(all.cells("POST", "move", kVolume + " b").first == 200);
-    assert(ask(*all.broker_a, write(key)) == "a"); // it may wait for the move, and comes back here
-    all.idle();
-    assert(ask(*all.broker_b, write(key)) == "a");
-    assert(all.node_b.taken().size() == seen_b);
-    assert(ask(*all.broker_b, write("ffffffffffffffff")) == "b");
+    const std::size_t seen_b = installation.node_b.taken().size();
+    assert(installation.cells("POST", "move", kVolume + " b").first == 200);
+    assert(request(*installation.broker_a, write(key)) ==
+           "a"); // it may wait for the move, and comes back here
+    installation.await_no_migration();
+    assert(request(*installation.broker_b, write(key)) == "a");
+    assert(installation.node_b.taken().size() == seen_b);
+    assert(request(*installation.broker_b, write("ffffffffffffffff")) == "b");
 }
 
-// A broker that starts without a keeper serves by the map on its disk; one without a file refuses.
-void a_broker_starts_without_its_keeper() {
-    Installation all(says("a"), says("b"));
-    all.move("b");
-    all.keeper.kill();
-    all.broker_b.reset();
-    all.start_b();
-    for (int n = 0; ask(*all.broker_b, get(kPiece)) != "b"; ++n) { // it may not know its node yet
+// A broker that starts without a coordinator serves by the map on its disk; one without a file rejects.
+void a_broker_starts_without_the_coordinator() {
+    Installation installation(serving("a"), serving("b"));
+    installation.move("b");
+    installation.coordinator.kill();
+    installation.broker_b.reset();
+    installation.start_b();
+    for (int n = 0; request(*installation.broker_b, get(kPiece)) != "b";
+         ++n) { // it may not know its node yet
         assert(n < 1000);
         std::this_thread::sleep_for(10ms);
     }
-    all.broker_b.reset();
-    std::filesystem::remove(all.folder / "n-b.cells");
-    all.start_b();
-    assert(ask(*all.broker_b, get(kPiece)).starts_with("BUSY"));
-    assert(ask(*all.broker_a, get(kPiece)).starts_with("BUSY")); // forwarded there, and no further
+    installation.broker_b.reset();
+    std::filesystem::remove(installation.folder / "n-b.cells");
+    installation.start_b();
+    assert(request(*installation.broker_b, get(kPiece)).starts_with("BUSY"));
+    assert(
+        request(*installation.broker_a, get(kPiece)).starts_with("BUSY")); // forwarded there, and no further
 }
 
-// A broker in a cell asks discovery for the list, too, and is told of what changes.
-void a_broker_in_a_cell_watches_the_list() {
-    Installation all(says("a"), says("b"));
-    all.discovery.await_taken(2); // a watch of each
+// Brokers in cells watch the endpoint list.
+void a_broker_in_a_cell_watches_the_endpoint_list() {
+    Installation installation(serving("a"), serving("b"));
+    installation.discovery.await_taken(2); // a watch of each
 }
 
-// The keeper reads its file again: what is wrong changes nothing; another capacity is told to all brokers.
-void the_layout_is_read_again() {
-    Installation all(says("a"), says("b"));
+// SIGHUP: a wrong file changes nothing; another capacity is published to all brokers.
+void the_layout_is_reloaded() {
+    Installation installation(serving("a"), serving("b"));
     const auto said = [&](const std::string &words) {
         for (int n = 0; n < 1000; ++n, std::this_thread::sleep_for(10ms)) {
             std::ostringstream text;
-            text << std::ifstream(all.folder / "keeper.log").rdbuf();
+            text << std::ifstream(installation.folder / "keeper.log").rdbuf();
             if (text.str().find(words) != std::string::npos)
                 return true;
         }
         return false;
     };
-    std::string changed = all.operators;
+    std::string changed = installation.operators;
     changed.replace(changed.find("\"capacity\":1000"), 15, "\"capacity\":2500");
-    std::ofstream(all.folder / "operator.json") << changed.substr(1);
-    all.keeper.signal(SIGHUP);
+    std::ofstream(installation.folder / "operator.json") << changed.substr(1);
+    installation.coordinator.signal(SIGHUP);
     assert(said("coordinator_layout_rejected reason=\"malformed JSON"));
-    std::ofstream(all.folder / "operator.json") << changed;
-    all.keeper.signal(SIGHUP);
+    std::ofstream(installation.folder / "operator.json") << changed;
+    installation.coordinator.signal(SIGHUP);
     assert(said("coordinator_layout_reloaded cells=2"));
-    assert(all.cells("GET", "list").second.find("a capacity 2500") != std::string::npos);
-    assert(ask(*all.broker_b, get(kPiece)) == "a");
+    assert(installation.cells("GET", "list").second.find("a capacity 2500") != std::string::npos);
+    assert(request(*installation.broker_b, get(kPiece)) == "a");
 }
 
-// Whatever comes to the links of keeper and brokers: at worst that connection ends.
-void what_makes_no_sense_on_a_link_is_let_go() {
-    Installation all(says("a"), says("b"));
+// Random bytes on the links of coordinator and brokers.
+void malformed_bytes_end_only_their_connection() {
+    Installation installation(serving("a"), serving("b"));
     std::mt19937_64 random(7);
-    for (const int port : {all.keeper_link, all.link_a}) {
+    for (const int port : {installation.coordinator_link, installation.link_a}) {
         for (int n = 0; n < 60; ++n) {
             Socket caller = Socket::to(port);
             std::string bytes(1 + random() % 200, '\0');
@@ -281,22 +292,22 @@
         large.send(std::string("\x7f\xff\xff\xff", 4));
         assert(large.ended());
     }
-    assert(ask(*all.broker_a, get(kPiece)) == "a");
-    all.move("b");
-    assert(ask(*all.broker_a, get(kPiece)) == "b");
+    assert(request(*installation.broker_a, get(kPiece)) == "a");
+    installation.move("b");
+    assert(request(*installation.broker_a, get(kPiece)) == "b");
 }
 
-// What is wrong with the layout is said with field and line, and nothing starts.
-void a_wrong_layout_is_named() {
+// A wrong layout is reported with field and line, and nothing starts.
+void a_wrong_layout_names_the_field() {
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / fmt::format("marblewood-{}", ::getpid());
     std::filesystem::create_directories(folder);
     const auto says = [&](const std::string &cells) {
         std::ofstream(folder / "operator.json") << cells;
-        Child keeper;
+        Child coordinator;
         std::filesystem::remove(folder / "log");
-        keeper.start({"keeper", "--operator", folder / "operator.json"}, folder / "log", folder, 0);
-        assert(keeper.exit_code() == 1);
+        coordinator.start({"keeper", "--operator", folder / "operator.json"}, folder / "log", folder, 0);
+        assert(coordinator.exit_code() == 1);
         std::ostringstream text;
         text << std::ifstream(folder / "log").rdbuf();
         return text.str();
@@ -324,12 +335,12 @@
 } // namespace
 
 int main() {
-    a_wrong_layout_is_named();
-    a_move_takes_the_volume_along_and_the_keeper_may_die();
-    what_comes_during_a_move_waits_for_it();
-    a_keys_repeat_reaches_its_first_node();
-    a_broker_starts_without_its_keeper();
-    a_broker_in_a_cell_watches_the_list();
-    what_makes_no_sense_on_a_link_is_let_go();
-    the_layout_is_read_again();
+    a_wrong_layout_names_the_field();
+    a_migration_survives_a_restart_of_the_coordinator();
+    requests_wait_for_a_migration();
+    a_repeat_reaches_the_node_of_the_first_attempt();
+    a_broker_starts_without_the_coordinator();
+    a_broker_in_a_cell_watches_the_endpoint_list();
+    malformed_bytes_end_only_their_connection();
+    the_layout_is_reloaded();
 }
--- a/tests/cells_samples.hpp
+++ b/tests/cells_samples.hpp
@@ -41,31 +41,36 @@
     const VolumeId volume{0x3b4d60021};
     const Epoch migration{40, 0x99};
     std::vector<std::pair<std::string, link::Frame>> all;
-    for (int verb = 0; verb <= 5; ++verb)
-        all.emplace_back("order-" + std::to_string(verb),
-                         link::Frame{"", Message(MigrationStep{static_cast<StepKind>(verb), volume, migration,
+    for (int kind = 0; kind <= 5; ++kind)
+        all.emplace_back("step-" + std::to_string(kind),
+                         link::Frame{"", Message(MigrationStep{static_cast<StepKind>(kind), volume, migration,
                                                                "a", "b", "b1", sample_quota()})});
-    for (int word = 0; word <= 8; ++word)
-        all.emplace_back("answer-" + std::to_string(word),
-                         link::Frame{"a1", Message(StepReply{static_cast<StepStatus>(word), volume, migration,
-                                                             sample_quota(), "not a broker of the cell"})});
+    for (int status = 0; status <= 8; ++status)
+        all.emplace_back(
+            "step-reply-" + std::to_string(status),
+            link::Frame{"a1", Message(StepReply{static_cast<StepStatus>(status), volume, migration,
+                                                sample_quota(), "not a broker of the cell"})});
     all.emplace_back(
-        "hello",
+        "heartbeat",
         link::Frame{"a1", Message(Heartbeat{
                               {41, 0x77}, 43, {{volume, 200, 110.5, 1.25}, {VolumeId{8}, 1, 2, 3}}, 17, 4})});
-    all.emplace_back("news", link::Frame{"", Message(MapSnapshot{sample_map(), sample_active_migrations()})});
+    all.emplace_back("map-snapshot",
+                     link::Frame{"", Message(MapSnapshot{sample_map(), sample_active_migrations()})});
     all.emplace_back(
-        "change",
+        "map-delta",
         link::Frame{"", Message(MapDelta{{41, 0x77},
                                          {42, 0x78},
                                          {{VolumeId{1}, "a"}, {VolumeId{2}, ""}, {VolumeId{3}, "a"}},
                                          sample_active_migrations()})});
-    all.emplace_back("behind", link::Frame{"b1", Message(StaleMap{{41, 0x77}, 43, sample_map()})});
-    all.emplace_back("ask", link::Frame{"a2", Message(OutcomeQuery{volume, migration, "a", "b"})});
-    all.emplace_back("told-opened", link::Frame{"b1", Message(OutcomeReply{volume, migration, true})});
-    all.emplace_back("told-never", link::Frame{"b1", Message(OutcomeReply{volume, migration, false})});
-    all.emplace_back("call", link::Frame{"a1", link::OperatorCall{12, "move", "00000003b4d60021 b"}});
-    all.emplace_back("reply", link::Frame{"", link::OperatorReply{12, true, "move 40 has begun\n"}});
+    all.emplace_back("stale-map", link::Frame{"b1", Message(StaleMap{{41, 0x77}, 43, sample_map()})});
+    all.emplace_back("outcome-query", link::Frame{"a2", Message(OutcomeQuery{volume, migration, "a", "b"})});
+    all.emplace_back("outcome-reply-opened",
+                     link::Frame{"b1", Message(OutcomeReply{volume, migration, true})});
+    all.emplace_back("outcome-reply-never",
+                     link::Frame{"b1", Message(OutcomeReply{volume, migration, false})});
+    all.emplace_back("operator-call",
+                     link::Frame{"a1", link::OperatorCall{12, "move", "00000003b4d60021 b"}});
+    all.emplace_back("operator-reply", link::Frame{"", link::OperatorReply{12, true, "move 40 has begun\n"}});
     return all;
 }
 
