--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -96,7 +96,7 @@
     Predecessor predecessor_;
 
     std::optional<discovery::DiscoveryClient> discovery_; // set up below endpoints_, to which it reports
-    std::optional<list_distribution::DocumentWatch> documents_;  // the same
+    std::optional<list_distribution::DocumentWatch> documents_; // the same
     std::optional<gossip::GossipTransport> peers_;              // reports to dispatchers_
     net::EndpointRegistry::Dispatchers dispatchers_;
     core::Metrics metrics_;
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -4,10 +4,10 @@
 #include "config/distribution.hpp"
 #include "config/operations.hpp"
 #include "core/log.hpp"
-#include "net/clients.hpp"
 #include "list_distribution/document_watch.hpp"
 #include "list_distribution/list_codec.hpp"
 #include "list_distribution/list_server.hpp"
+#include "net/clients.hpp"
 
 #include <algorithm>
 #include <boost/asio/signal_set.hpp>
@@ -43,7 +43,7 @@
 public:
     DistributorProcess(const config::DistributorConfig &config, std::uint64_t seed)
         : config_(config), server_(io_, deadlines_, net::listen_at(io_, listen_address(config)),
-                                   config.limits, config.most_removed, config.most_callers) {
+                                   {config.limits, config.most_removed, config.most_callers}) {
         watch_nodes(seed);
         if (!config.document_file.empty())
             load_documents();
@@ -94,7 +94,8 @@
     void watch_documents(std::uint64_t seed) {
         auto parents = selector(config_.document_parents, seed);
         const std::string first_parent = parents.current().address;
-        discovery::WatchedResource documents{list_distribution::kDocumentsPath, list_distribution::decode_documents,
+        discovery::WatchedResource documents{list_distribution::kDocumentsPath,
+                                             list_distribution::decode_documents,
                                              [this] { return report_to_parent(); }};
         documents_watch_.emplace(io_, deadlines_, list_distribution::shared_service(seed),
                                  source_address(first_parent, "documents.parents.address"),
--- a/src/policy/quota_ledger.hpp
+++ b/src/policy/quota_ledger.hpp
@@ -37,7 +37,8 @@
 
     /// Tells other hosts, now and then, that requests of the volume come through this one.
     std::optional<SendPeerMessage> announce_demand(const RequestArrived &request, Micros now) {
-        return loans_.record_demand(volumes_.at(request.volume).rate_limit, request.volume, request.units, now);
+        return loans_.record_demand(volumes_.at(request.volume).rate_limit, request.volume, request.units,
+                                    now);
     }
 
     /// Whether the rate limit allows the request now and leaves `spare` units.
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -89,7 +89,9 @@
     }
 
     /// Whether the last start known lies before `time`.
-    static bool started_before(const SlowStartState &node, Micros time) { return node.slow_start_began < time; }
+    static bool started_before(const SlowStartState &node, Micros time) {
+        return node.slow_start_began < time;
+    }
 
     /// Drops sends that no longer count.
     void forget_old(SlowStartState &node, Micros now) { budget_.expire(node, now); }
