--- a/src/config/decode.cpp
+++ b/src/config/decode.cpp
@@ -9,13 +9,14 @@
 namespace marblewood::config {
 namespace {
 
-constexpr Words<Idempotency, 3> kEffects{{{"idempotent", Idempotency::Idempotent},
-                                          {"deduplicated", Idempotency::WithKey},
-                                          {"at_most_once", Idempotency::NotIdempotent}}};
-constexpr Words<DeduplicationScope, 3> kGroups{{{"all", DeduplicationScope::All},
-                                                {"zone", DeduplicationScope::Zone},
-                                                {"cell", DeduplicationScope::Cell}}};
-constexpr Words<bool, 2> kMembership{{{"pushed", false}, {"on_request", true}}};
+constexpr Words<Idempotency, 3> kIdempotencyNames{{{"idempotent", Idempotency::Idempotent},
+                                                   {"deduplicated", Idempotency::WithKey},
+                                                   {"at_most_once", Idempotency::NotIdempotent}}};
+constexpr Words<DeduplicationScope, 3> kDeduplicationScopeNames{{{"all", DeduplicationScope::All},
+                                                                 {"zone", DeduplicationScope::Zone},
+                                                                 {"cell", DeduplicationScope::Cell}}};
+/// Whether the endpoint list has to be polled.
+constexpr Words<bool, 2> kMembershipModes{{{"pushed", false}, {"on_request", true}}};
 
 [[noreturn]] void wrong(const char *field, const char *what) {
     throw Error(std::string("field '") + field + "' " + what);
@@ -100,88 +101,116 @@
     return std::llround(std::clamp(std::isnan(milliseconds) ? 0 : milliseconds, -1e14, 1e14) * 1000);
 }
 
+namespace {
+
+/// An object within `params`; an empty one where it is missing or null.
+Json::Value object_or_empty(const Json::Value &params, const char *field) {
+    return given(params, field) ? params[field] : Json::Value(Json::objectValue);
+}
+
+/// A list within `params`; an empty one where it is missing or null.
+Json::Value list_or_empty(const Json::Value &params, const char *field) {
+    Json::Value rows = given(params, field) ? params[field] : Json::Value(Json::arrayValue);
+    if (!rows.isArray())
+        wrong(field, "is not a list");
+    return rows;
+}
+
+template <typename Row> bool has_name(const std::vector<Row> &rows, const std::string &name) {
+    return std::ranges::find(rows, name, &Row::name) != rows.end();
+}
+
+// The functions below are the one place where the settings' names meet the module's.
+
+ClassSettings read_class(const Json::Value &row, const std::vector<ClassSettings> &earlier) {
+    ClassSettings cls;
+    cls.name = need_text(row, "name");
+    if (has_name(earlier, cls.name))
+        wrong("classes", "names a class twice");
+    cls.latency_objective = need_time(row, "target");
+    cls.deadline = need_time(row, "hard_limit");
+    cls.priority_weight = number_or(row, "importance", 1);
+    cls.late_priority_factor = number_or(row, "late_worth", 0);
+    cls.idempotency = word(kIdempotencyNames, need_text(row, "effect"), "effect");
+    cls.deduplication_scope = word(kDeduplicationScopeNames, text_or(row, "group", "all"), "group");
+    cls.deduplication_window = time_or(row, "dedup_window", 0);
+    cls.in_order = flag_or(row, "by_arrival", false);
+    cls.stream = flag_or(row, "stream", false);
+    return cls;
+}
+
+PlanSettings read_plan(const Json::Value &row, const std::vector<PlanSettings> &earlier) {
+    PlanSettings plan;
+    plan.name = need_text(row, "name");
+    if (has_name(earlier, plan.name))
+        wrong("policies", "names a plan twice");
+    plan.rate = number_or(row, "nominal", 0);
+    plan.reserve = number_or(row, "reserve", 0);
+    plan.weight = number_or(row, "parts", 1);
+    plan.priority_factor = number_or(row, "pays", 1);
+    plan.limit = number_or(row, "ceiling_rate", 0);
+    plan.limit_burst = number_or(row, "burst", 0);
+    plan.limit_slack = number_or(row, "cap_slack", 0);
+    return plan;
+}
+
+/// What the deployment allows a host to do.
+void read_bounds(const Json::Value &bounds, Settings &settings) {
+    settings.cancel = flag_or(bounds, "cancel", false);
+    settings.probes = flag_or(bounds, "probes", false);
+    settings.peers = flag_or(bounds, "peers", false);
+    settings.hedging = flag_or(bounds, "may_duplicate", false);
+    settings.retry_after = flag_or(bounds, "retry_after", false);
+    settings.max_attempts = static_cast<int>(integer_or(bounds, "max_attempts", 1));
+    settings.max_retry_after = time_or(bounds, "max_retry_after", 0);
+    settings.connect_timeout = time_or(bounds, "connect_timeout", 0);
+    settings.idle_close = time_or(bounds, "idle_close", 0);
+}
+
+/// The rules that hold between the fleet and its nodes and clients.
+void read_contract(const Json::Value &contract, Settings &settings) {
+    settings.answer_slack = time_or(contract, "grace_to_answer", 0);
+    settings.drain_grace = time_or(contract, "drain_grace", 0);
+    settings.list_poll_interval = time_or(contract, "must_ask_in", 0);
+    settings.slow_start_window = time_or(contract, "fall", 0);
+    settings.slow_start_duration = time_or(contract, "cold", 0);
+    settings.slow_start_initial_fraction = number_or(contract, "start_capacity", 1);
+    settings.ordering_settle_time = time_or(contract, "key_rest", 0);
+    settings.retry_budget_free = number_or(contract, "budget_free", 0);
+    settings.retry_budget_fraction = number_or(contract, "further_ratio", 0);
+    settings.retry_budget_window = time_or(contract, "resend_span", 0);
+}
+
+/// The units of work, and how they are accounted.
+void read_family_info(const Json::Value &family, Settings &settings) {
+    settings.slow_start_units = number_or(family, "cold_bears", 0);
+    settings.max_request_units = number_or(family, "largest", 1);
+    settings.mean_request_units = number_or(family, "usual_units", 1);
+    settings.share_priority_factor = number_or(family, "fair_worth", 1);
+    settings.surplus_priority_factor = number_or(family, "beyond_share", 1);
+    settings.meter = time_or(family, "metering", 0);
+    settings.reports_remote_units = flag_or(family, "says_others", false);
+}
+
+} // namespace
+
 Settings read_settings(const Json::Value &params, std::uint64_t seed) {
-    const auto part = [&](const char *key) {
-        return given(params, key) ? params[key] : Json::Value(Json::objectValue);
-    };
-    const auto list = [&](const char *key) {
-        const Json::Value rows = given(params, key) ? params[key] : Json::Value(Json::arrayValue);
-        if (!rows.isArray())
-            wrong(key, "is not a list");
-        return rows;
-    };
-    Settings s;
-    s.seed = seed;
-    s.hosts = static_cast<int>(need_integer(params, "instances"));
-    s.position = static_cast<int>(integer_or(params, "position", 0));
-    s.period = time_or(params, "period", 0);
+    Settings settings;
+    settings.seed = seed;
+    settings.hosts = static_cast<int>(need_integer(params, "instances"));
+    settings.position = static_cast<int>(integer_or(params, "position", 0));
+    settings.period = time_or(params, "period", 0);
     need(params, "classes");
-    for (const Json::Value &c : list("classes")) {
-        ClassSettings cls;
-        cls.name = need_text(c, "name");
-        for (const ClassSettings &other : s.classes)
-            if (other.name == cls.name)
-                wrong("classes", "names a class twice");
-        cls.latency_objective = need_time(c, "target");
-        cls.deadline = need_time(c, "hard_limit");
-        cls.priority_weight = number_or(c, "importance", 1);
-        cls.late_priority_factor = number_or(c, "late_worth", 0);
-        cls.idempotency = word(kEffects, need_text(c, "effect"), "effect");
-        cls.deduplication_scope = word(kGroups, text_or(c, "group", "all"), "group");
-        cls.deduplication_window = time_or(c, "dedup_window", 0);
-        cls.in_order = flag_or(c, "by_arrival", false);
-        cls.stream = flag_or(c, "stream", false);
-        s.classes.push_back(std::move(cls));
-    }
-    for (const Json::Value &p : list("policies")) {
-        PlanSettings plan;
-        plan.name = need_text(p, "name");
-        for (const PlanSettings &other : s.plans)
-            if (other.name == plan.name)
-                wrong("policies", "names a plan twice");
-        plan.rate = number_or(p, "nominal", 0);
-        plan.reserve = number_or(p, "reserve", 0);
-        plan.weight = number_or(p, "parts", 1);
-        plan.priority_factor = number_or(p, "pays", 1);
-        plan.limit = number_or(p, "ceiling_rate", 0);
-        plan.limit_burst = number_or(p, "burst", 0);
-        plan.limit_slack = number_or(p, "cap_slack", 0);
-        s.plans.push_back(std::move(plan));
-    }
-    s.poll_endpoint_list = word(kMembership, text_or(params, "membership_mode", "pushed"), "membership_mode");
-
-    const Json::Value bounds = part("bounds");
-    s.cancel = flag_or(bounds, "cancel", false);
-    s.probes = flag_or(bounds, "probes", false);
-    s.peers = flag_or(bounds, "peers", false);
-    s.hedging = flag_or(bounds, "may_duplicate", false);
-    s.retry_after = flag_or(bounds, "retry_after", false);
-    s.max_attempts = static_cast<int>(integer_or(bounds, "max_attempts", 1));
-    s.max_retry_after = time_or(bounds, "max_retry_after", 0);
-    s.connect_timeout = time_or(bounds, "connect_timeout", 0);
-    s.idle_close = time_or(bounds, "idle_close", 0);
-
-    const Json::Value rules = part("contract");
-    s.answer_slack = time_or(rules, "grace_to_answer", 0);
-    s.drain_grace = time_or(rules, "drain_grace", 0);
-    s.list_poll_interval = time_or(rules, "must_ask_in", 0);
-    s.slow_start_window = time_or(rules, "fall", 0);
-    s.slow_start_duration = time_or(rules, "cold", 0);
-    s.slow_start_initial_fraction = number_or(rules, "start_capacity", 1);
-    s.ordering_settle_time = time_or(rules, "key_rest", 0);
-    s.retry_budget_free = number_or(rules, "budget_free", 0);
-    s.retry_budget_fraction = number_or(rules, "further_ratio", 0);
-    s.retry_budget_window = time_or(rules, "resend_span", 0);
-
-    const Json::Value family = part("family_info");
-    s.slow_start_units = number_or(family, "cold_bears", 0);
-    s.max_request_units = number_or(family, "largest", 1);
-    s.mean_request_units = number_or(family, "usual_units", 1);
-    s.share_priority_factor = number_or(family, "fair_worth", 1);
-    s.surplus_priority_factor = number_or(family, "beyond_share", 1);
-    s.meter = time_or(family, "metering", 0);
-    s.reports_remote_units = flag_or(family, "says_others", false);
-    return s;
+    for (const Json::Value &row : list_or_empty(params, "classes"))
+        settings.classes.push_back(read_class(row, settings.classes));
+    for (const Json::Value &row : list_or_empty(params, "policies"))
+        settings.plans.push_back(read_plan(row, settings.plans));
+    settings.poll_endpoint_list =
+        word(kMembershipModes, text_or(params, "membership_mode", "pushed"), "membership_mode");
+    read_bounds(object_or_empty(params, "bounds"), settings);
+    read_contract(object_or_empty(params, "contract"), settings);
+    read_family_info(object_or_empty(params, "family_info"), settings);
+    return settings;
 }
 
 NodeEntry read_entry(const Json::Value &row, const EntryWords &words, Names &nodes, Names &zones) {
