--- a/src/cells/cell_coordinator.cpp
+++ b/src/cells/cell_coordinator.cpp
@@ -77,7 +77,7 @@
             else
                 send_snapshot(broker.name, actions);
             if (heard)
-                status->second.map_epoch = map_.epoch; // if it is lost, the next heartbeat tells
+                status->second.map_epoch = map_.epoch; // if the message is lost, the next heartbeat shows it
         }
     }
     published_ = map_;
--- a/src/cells/cell_coordinator.hpp
+++ b/src/cells/cell_coordinator.hpp
@@ -155,7 +155,7 @@
     bool has_volumes(const Cell &cell) const;
 
     CellMap map_;
-    CellMap published_; ///< As the brokers were told last.
+    CellMap published_; ///< As last sent to the brokers.
     std::uint64_t origin_;
     std::uint64_t epoch_counter_ = 0;
     std::uint64_t newest_reported_epoch_ = 0; ///< Number of the newest map that a broker has reported.
