--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -32,9 +32,8 @@
 /// created: each refers only to parts above it, unless it says otherwise.
 class Broker {
 public:
-    /// Creates all parts; the broker accepts clients from then on. What may fail comes before a predecessor
-    /// is asked for its state (hot restart). Throws config::Error naming the setting that is wrong, or
-    /// boost::system::system_error for an address that can't be listened at.
+    /// Creates all parts; the broker accepts clients from then on. Throws config::Error naming the setting
+    /// that is wrong, or boost::system::system_error for an address that can't be listened at.
     Broker(std::string config_path, config::Config config, const config::Operator &operator_config);
 
     /// Serves until SIGTERM or SIGINT, then shuts down (GracefulShutdown) and exits the process. `hangup` is
@@ -90,6 +89,7 @@
     net::Ports ports_;
     std::mt19937_64 random_;
 
+    // Opened before the predecessor is asked for its state: an address that is in use must not interrupt it.
     std::optional<boost::asio::ip::tcp::acceptor> admin_listener_;
     const std::string handover_path_;
     Predecessor predecessor_;
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -4,8 +4,6 @@
 #include "core/log.hpp"
 #include "net/discovery/discovery.hpp"
 
-#include <set>
-
 namespace marblewood::app {
 
 namespace {
@@ -21,10 +19,14 @@
     net::discovery::read(config.known, nodes, zones);
 }
 
+/// `discovery` moves at once; `known` and `seed` matter only at a start and may differ from one to the next.
+bool may_change_without_notice(const std::string &field) {
+    return field == "discovery" || field == "known" || field == "seed";
+}
+
 void log_fields_that_need_restart(const config::Config &fresh, const config::Config &current) {
-    static const std::set<std::string> kOtherFields{"discovery", "known", "seed"};
     for (const std::string &field : fresh.file.getMemberNames()) {
-        if (!kOtherFields.contains(field) && fresh.file[field] != current.file[field])
+        if (!may_change_without_notice(field) && fresh.file[field] != current.file[field])
             core::log("config_change_needs_restart field={}", field);
     }
 }
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -21,7 +21,9 @@
     struct Key {
         Micros due = 0; // Unix time in us
         std::uint64_t sequence = 0;
-        auto operator<=>(const Key &) const = default;
+        bool operator<(const Key &other) const {
+            return due != other.due ? due < other.due : sequence < other.sequence;
+        }
     };
 
 public:
@@ -85,7 +87,7 @@
         armed_for_ = kNever;
         running_actions_ = true;
         const Key last_due{clock.now(), last_sequence_}; // what an action adds waits for the next run
-        while (!entries_.empty() && entries_.begin()->first <= last_due) {
+        while (!entries_.empty() && !(last_due < entries_.begin()->first)) {
             const Action action = std::move(entries_.begin()->second);
             entries_.erase(entries_.begin());
             action();
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -15,10 +15,10 @@
 /// thread. While the buffer is full the writer waits, and reads no more from the node.
 class Stream {
 public:
-    static constexpr std::size_t kBufferBytes = 16 * 1024;
+    static constexpr std::size_t kBufferBytes = std::size_t{16} * 1024;
 
     /// \param total_bytes length of the whole value.
-    Stream(boost::asio::any_io_executor executor, MemoryBudget &memory, std::size_t total_bytes)
+    Stream(const boost::asio::any_io_executor &executor, MemoryBudget &memory, std::size_t total_bytes)
         : length(total_bytes), data_ready_(executor), space_ready_(executor), reservation_(memory) {}
 
     const std::size_t length; ///< of the whole value, bytes
