--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -176,7 +176,7 @@
         clients.emplace_back(old.port, LoopHabits{.pause = 1ms, .requests = 2, .reconnects = true}, tally);
     std::this_thread::sleep_for(200ms);
     end_at_the_earliest(fresh, kShort);
-    old.await_log("serving again");
+    old.await_log("hot_restart_successor_lost action=resume");
     const long before = tally.served;
     std::this_thread::sleep_for(500ms);
     clients.clear();
