--- a/include/marblewood/actions.hpp
+++ b/include/marblewood/actions.hpp
@@ -19,7 +19,7 @@
         0; ///< must not be written later, when the node may no longer drop duplicates; 0: no bound
 };
 
-/// Final: nothing was done, and trying again is harmless.
+/// Final: nothing ran, or running it again is harmless. The client may retry.
 struct Refuse {
     RequestId id{};
     Micros retry_after = 0;
@@ -40,7 +40,7 @@
     NodeId node{};
 };
 
-/// Close the connections to a node that are idle.
+/// Close the connections to a node that are idle. No rule asks for it at present.
 struct CloseIdle {
     NodeId node{};
 };
--- a/include/marblewood/settings.hpp
+++ b/include/marblewood/settings.hpp
@@ -43,8 +43,8 @@
     double priority_factor = 1; ///< applied to the priority weight of each class
     double limit = 0;           ///< rate limit, units/s; 0: none
     double limit_burst = 0;     ///< units
-    double limit_slack = 0;
-    std::string name = {}; ///< as the configuration spells it
+    double limit_slack = 0;     ///< decoded, not used
+    std::string name = {};      ///< as the configuration spells it
 };
 
 struct Settings {
@@ -53,7 +53,7 @@
     std::uint64_t seed = 0;
     std::vector<ClassSettings> classes;
     std::vector<PlanSettings> plans;
-    Micros period = 1000;                ///< shortest span between two calls of handle()
+    Micros period = 1000; ///< granularity of the caller's timers; rules allow two of it as lateness
     std::size_t max_queued_requests = 0; ///< beyond it the lowest priority is shed; 0: no bound
 
     // Features that the deployment allows.
@@ -62,15 +62,15 @@
     bool probes = false;             ///< nodes answer health checks
     bool peers = false;              ///< hosts may send each other messages
     bool lends = false;              ///< hosts lend each other units of rate limits
-    bool hedging = false;
-    bool retry_after = false; ///< rejections may carry a Retry-After
+    bool hedging = false;            ///< decoded, not used: attempts of a request run one at a time
+    bool retry_after = false;        ///< rejections may carry a Retry-After
     int max_attempts = 1;
     Micros max_retry_after = 0;
     Micros connect_timeout = 0;
     Micros idle_close = 0; ///< nodes close connections that were idle for so long; 0: never
 
     Micros answer_slack = 0; ///< a final answer this long after the deadline still counts
-    Micros drain_grace = 0;
+    Micros drain_grace = 0;  ///< decoded, not used
     Micros list_poll_interval = 0;
 
     // Slow start of nodes that have just started.
@@ -92,7 +92,7 @@
     double mean_request_units = 1;
     double share_priority_factor = 1;   ///< for work beyond a volume's reserve, within its share
     double surplus_priority_factor = 1; ///< for work beyond its share
-    Micros meter = 0;                   ///< period of metering; 0: none
+    Micros meter = 0;                   ///< period of metering; 0: none; not used
     bool reports_remote_units = false;  ///< answers report what a volume used through other hosts
 };
 
--- a/include/marblewood/types.hpp
+++ b/include/marblewood/types.hpp
@@ -6,8 +6,9 @@
 
 namespace marblewood {
 
-/// A point in time on the caller's monotonic clock, or a span of time, in microseconds. A plain integer,
-/// since settings, events and the wires all carry it and the module computes ratios of it in floating point.
+/// A point in time (Unix time, on a clock that never goes back: core::Clock) or a span of time, in
+/// microseconds. A plain integer, since settings, events and the wires all carry it and the module computes
+/// ratios of it in floating point.
 using Micros = std::int64_t;
 
 enum class RequestId : std::uint64_t {};
--- a/src/app/process_handover.hpp
+++ b/src/app/process_handover.hpp
@@ -17,8 +17,9 @@
 
 namespace marblewood::app {
 
-/// Waits for a successor, hands everything over to it, and takes it back if the successor goes. Used on the
-/// loop's thread alone; the references outlive it.
+/// Waits for a successor and hands over its state, its listening sockets and its RESP2 connections; NVMe/TCP
+/// connections stay here until they close. Takes all back if the successor goes. Used on the loop's thread
+/// alone; the references outlive it.
 class ProcessHandover {
 public:
     /// What is handed over.
--- a/src/app/shutdown_schedule.hpp
+++ b/src/app/shutdown_schedule.hpp
@@ -12,15 +12,12 @@
 /// What is owed to clients from SIGTERM to the exit. All times are Unix time in us.
 ///
 /// - Until `close_connections_at` the broker serves as before.
-/// - From then on each client connection is closed between two requests. New connections are still accepted,
-/// since
-///   a client whose connection was closed may come again at once.
-/// - At `answer_all_at` the broker stops listening, and every open request is answered: refused if it can't
-/// have
-///   run, else failed.
-/// - By `exit_at` every accepted request has its answer. The process exits as soon as all connections are
-/// closed
-///   and nothing waits to be sent to a successor.
+/// - From then on each client connection is closed between two requests. New connections are still
+///   accepted, since a client whose connection was closed may come again at once.
+/// - At `answer_all_at` every open request is answered: refused if nothing can have run or a retry is
+///   harmless, else failed. What waits in the accept queue is still accepted; then listening stops.
+/// - By `exit_at` every accepted request has its answer. No timer enforces it: the process exits as soon as
+///   all connections are closed and nothing waits to be sent to a successor.
 struct ShutdownSchedule {
     /// The platform kills the process no sooner after SIGTERM than the longest client deadline, counted as
     /// kLongestDeadline at the most, and kKillGrace beyond that.
--- a/src/cells/cell_member.hpp
+++ b/src/cells/cell_member.hpp
@@ -44,8 +44,8 @@
 };
 
 struct RoutingDecision {
-    enum class Kind { Serve, Forward, Wait, Reject };
-    Kind kind = Kind::Reject;
+    enum class Kind { Serve, Forward, Wait, Refuse };
+    Kind kind = Kind::Refuse;
     std::string broker;      ///< Forward.
     int serving_brokers = 1; ///< Serve: brokers that the volume uses.
 };
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -35,7 +35,7 @@
     std::uint64_t refused_unsent = 0;     ///< refused before any attempt, in `completed` as refused
     std::uint64_t refused_closing = 0;    ///< of those: because the client's connection was about to end
     std::uint64_t answered_early = 0;     ///< answered by answer_now(), as the connection had to end
-    std::uint64_t hedges = 0;             ///< attempts started while another one was in flight
+    std::uint64_t hedges = 0; ///< attempts started while another one was in flight; none at present
     /// Attempts started after the last one had ended, by the status of that one.
     std::array<std::uint64_t, kStatusNames.size()> retries{};
 
--- a/src/core/request_handler.hpp
+++ b/src/core/request_handler.hpp
@@ -30,8 +30,8 @@
                              ReleaseCallback on_released = nullptr) = 0;
     /// The request's client has gone: on_complete will not be called.
     virtual void client_disconnected(RequestId id) = 0;
-    /// The request has to be completed soon, whatever its client's timeout: refused if nothing can have run,
-    /// else failed. One whose value is being streamed goes on.
+    /// The request has to be completed soon, whatever its client's timeout: refused if nothing can have run
+    /// or a retry is harmless, else failed. One whose value is being streamed goes on.
     virtual void answer_now(RequestId id) = 0;
 };
 
--- a/src/hot_restart/hot_restart.hpp
+++ b/src/hot_restart/hot_restart.hpp
@@ -1,5 +1,7 @@
 /// \file
-/// Hot restart: a new process takes over while the old one serves. The parent process hands its state and
+/// Hot restart: a new process (the successor) takes over while the old one serves. The old one is called the
+/// parent process here, though it does not fork the new one; seen from the successor it is the predecessor.
+/// The parent process hands its state and
 /// sockets, then its clients' connections, to a successor that is all set up; it keeps the requests that it
 /// has accepted. If the successor ends, the parent serves again.
 ///
--- a/src/net/cells/cell_router_requests.cpp
+++ b/src/net/cells/cell_router_requests.cpp
@@ -61,7 +61,7 @@
 }
 
 RequestId CellRouter::submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
-                             std::function<void()>) {
+                             std::function<void()> /*on_released: no caller of the router gives one*/) {
     const Id id = ++last_id_;
     PendingRequest pending;
     pending.routing = routing_request(*request);
@@ -81,7 +81,7 @@
         return start_forwarding(id, decision.broker);
     case mc::RoutingDecision::Kind::Wait:
         return wait_for_migration(id);
-    case mc::RoutingDecision::Kind::Reject:
+    case mc::RoutingDecision::Kind::Refuse:
         return reject(id);
     }
 }
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -43,8 +43,10 @@
 
 void Client::end_by(CloseReason why, Micros now, Micros time, bool lone_requests) {
     note(why);
-    if (!use().closing)
-        closing.since = now, closing.end_by = time;
+    if (!use().closing) {
+        closing.since = now;
+        closing.end_by = time;
+    }
     closing.end_by = std::min(closing.end_by, time);
     closing.lone_requests = closing.lone_requests || lone_requests;
     mark_closing();
@@ -141,8 +143,8 @@
     client->staying = done_ != nullptr;
     if (sending_away())
         client->send_away(now);
-    if (letting_go_)
-        client->shut_down(now, withdraw_at_);
+    if (closing_all_)
+        client->shut_down(now, answer_all_at_);
     asio::co_spawn(io_, serve(client), asio::detached);
     limit_idle_askers();
 }
@@ -223,10 +225,10 @@
         std::exchange(done_, nullptr)();
 }
 
-void Clients::drain(Micros let_go, Micros withdraw_at, std::function<void()> done) {
+void Clients::drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done) {
     done_ = std::move(done);
-    let_go_at_ = let_go;
-    withdraw_at_ = withdraw_at;
+    close_connections_at_ = close_connections_at;
+    answer_all_at_ = answer_all_at;
     last_change_ = deadlines_.clock.now();
     for (Client &client : clients_) {
         client.staying = true;
@@ -240,12 +242,12 @@
     if (since.has_value() == quiesced_.has_value())
         return;
     quiesced_ = since;
-    away_.reset();
+    quiesce_timer_.reset();
     report_.reset();
     core::log("quiesce: {}", since ? "clients are sent away once the front has moved" : "over");
     if (!since)
         return;
-    away_ = deadlines_.at(*since + kFrontMoves, [this] {
+    quiesce_timer_ = deadlines_.at(*since + kFrontMoves, [this] {
         report_closing("quiesce");
         send_away();
     });
@@ -311,17 +313,17 @@
 // that has gone.
 void Clients::drain_turn() {
     const Micros now = deadlines_.clock.now();
-    if (now >= let_go_at_ && !letting_go_)
-        let_go();
+    if (now >= close_connections_at_ && !closing_all_)
+        begin_closing_all();
     const bool none_comes = clients_.empty() && now - last_change_ >= kStillComing;
-    if (now < withdraw_at_ && !none_comes) {
-        look_ = deadlines_.in(kRetryAccept, [this] { drain_turn(); });
+    if (now < answer_all_at_ && !none_comes) {
+        drain_timer_ = deadlines_.in(kRetryAccept, [this] { drain_turn(); });
         return;
     }
-    letting_go_ = true;
-    const bool last = now >= withdraw_at_ + kQueueWithin;
+    closing_all_ = true;
+    const bool last = now >= answer_all_at_ + kQueueWithin;
     if (!paused_ && !accept_queue(last) && !last) { // else a successor accepts
-        look_ = deadlines_.in(kQueueLook, [this] { drain_turn(); });
+        drain_timer_ = deadlines_.in(kQueueLook, [this] { drain_turn(); });
         return;
     }
     stop_listening();
@@ -329,12 +331,12 @@
         std::exchange(done_, nullptr)();
 }
 
-void Clients::let_go() {
-    letting_go_ = true;
+void Clients::begin_closing_all() {
+    closing_all_ = true;
     report_closing("shutdown");
     const Micros now = deadlines_.clock.now();
     for (Client &client : clients_)
-        client.shut_down(now, withdraw_at_);
+        client.shut_down(now, answer_all_at_);
 }
 
 // What waits to be accepted may have a request written to it, which counts as taken. Accepts all of it in one
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -104,10 +104,10 @@
     }
     /// The same at the end of the process, where one that has come lately may wait until requests are
     /// withdrawn.
-    void shut_down(Micros now, Micros withdraw_at) {
+    void shut_down(Micros now, Micros answer_all_at) {
         closing.first_until =
-            std::min(use().accepted + EvictionOrder::kNewcomerGrace, withdraw_at + Closing::kRestWithin);
-        end_by(CloseReason::Shutdown, now, withdraw_at, true);
+            std::min(use().accepted + EvictionOrder::kNewcomerGrace, answer_all_at + Closing::kRestWithin);
+        end_by(CloseReason::Shutdown, now, answer_all_at, true);
     }
     /// The same, with the time by which it has to be over. Told again, the earlier time counts.
     void end_by(CloseReason why, Micros now, Micros time, bool lone_requests);
@@ -129,10 +129,10 @@
 
     Clients(asio::io_context &io, core::Deadlines &deadlines, SocketBudget &budget, ClientFigures &figures,
             tcp::acceptor acceptor, Front front);
-    // At a planned end: serves on until `let_go`, then ends connections between requests, and still takes new
-    // ones, for requests that have crossed such an end; at `withdraw_at` it stops listening, and what is open
-    // is answered. `done` is called once no connection is left.
-    void drain(Micros let_go, Micros withdraw_at, std::function<void()> done);
+    // At a planned end: serves on until `close_connections_at`, then ends connections between requests, and
+    // still takes new ones, for requests that have crossed such an end; at `answer_all_at` it stops
+    // listening, and what is open is answered. `done` is called once no connection is left.
+    void drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done);
     // Sends all away once those who direct clients have had time to turn to others since the time given, or
     // stops doing so. New ones are still taken, and served. Called again, it changes nothing.
     void quiesce(std::optional<Micros> since);
@@ -153,7 +153,7 @@
     bool evict_one();         // to make room; false: all are in use
     void limit_idle_askers(); // closes the longest unused, if too many clients that asked stay
     void drain_turn();
-    void let_go();
+    void begin_closing_all();
     bool accept_queue(bool last);
     void stop_listening();
     void send_away();
@@ -174,12 +174,12 @@
     std::function<void(Passed)> pass_;
     bool paused_ = false;
     core::Mailbox<bool> resumed_;
-    std::optional<Micros> quiesced_;         // since when
-    Micros let_go_at_ = 0, withdraw_at_ = 0; // while it drains
-    int last_accepts_ = 0;                   // once connections are withdrawn
-    bool letting_go_ = false;                // the former is over
-    Micros last_change_ = 0;                 // when a connection last came or ended
-    core::Deadlines::Entry look_, away_, report_;
+    std::optional<Micros> quiesced_;                      // since when
+    Micros close_connections_at_ = 0, answer_all_at_ = 0; // while it drains
+    int last_accepts_ = 0;                                // once connections are withdrawn
+    bool closing_all_ = false;                            // close_connections_at_ is over
+    Micros last_change_ = 0;                              // when a connection last came or ended
+    core::Deadlines::Entry drain_timer_, quiesce_timer_, report_;
     static constexpr int kEndedLines = 50; // a second
     core::LogRateLimiter ended_lines_{kEndedLines};
 };
--- a/src/overload/quota_lending.cpp
+++ b/src/overload/quota_lending.cpp
@@ -9,17 +9,17 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 
-constexpr Micros kMaxLoanLifetime = 500'000;
-constexpr double kClockDrift = 1.05;     // the lender's clock against the borrower's, at most,
-constexpr Micros kClockMargin = 20'000;  // and besides
-constexpr double kMaxLentFraction = 0.5; // of the room in a balance, lent at once
+constexpr Micros kMaxLoanLifetime = 500'000; // us
+constexpr double kClockDrift = 1.05;         // rate of the lender's clock to the borrower's, at most
+constexpr Micros kClockMargin = 20'000;      // us, added to a loan's lifetime at the lender
+constexpr double kMaxLentFraction = 0.5;     // of the room in a balance, lent at once
 
 constexpr double kDemandWindow = 1e6;         // us over which the demand is averaged
 constexpr double kDemandAheadSeconds = 0.25;  // of its demand that a host borrows for, and a lender keeps
-constexpr Micros kRequestInterval = 30'000;   // at least, between requests for one volume
-constexpr Micros kMinPeerBackoff = 60'000;    // after a request to a peer that may lend nothing,
-constexpr Micros kMaxPeerBackoff = 1'000'000; // doubled each time
-constexpr Micros kRegistrationInterval = 8'000'000;
+constexpr Micros kRequestInterval = 30'000;   // us, at least, between requests for one volume
+constexpr Micros kMinPeerBackoff = 60'000;    // us without asking a peer that lent nothing, at first
+constexpr Micros kMaxPeerBackoff = 1'000'000; // us; it doubles up to this
+constexpr Micros kRegistrationInterval = 8'000'000; // us
 constexpr std::size_t kMaxPendingRequests = 16;
 
 double outstanding(const std::deque<QuotaAccount::Loan> &loans, Micros now) {
--- a/src/overload/quota_lending.hpp
+++ b/src/overload/quota_lending.hpp
@@ -36,7 +36,7 @@
 
 namespace marblewood::overload {
 
-/// Threads: one owner, called from one thread. `now` is this host's monotonic clock.
+/// Threads: one owner, called from one thread. `now` never goes back; the hosts' clocks need not agree.
 class QuotaLending {
 public:
     explicit QuotaLending(const Settings &settings) : settings_(settings) {}
--- a/src/overload/slow_start_allocator.cpp
+++ b/src/overload/slow_start_allocator.cpp
@@ -9,10 +9,10 @@
 constexpr int kAllocators = 2;                  // S; while one is unreachable, half remains
 constexpr int kEpochWindows = 6;                // length of an epoch, in windows
 constexpr int kSlotsPerWindow = 16;             // clocks differ by one slot at most
-constexpr Micros kGrantLifetime = 300'000;      // g
+constexpr Micros kGrantLifetime = 300'000;      // us; g
 constexpr double kClockDrift = 1.05;            // an allocator's clock against a requester's, at most
-constexpr Micros kMinRequestBackoff = 40'000;   // between requests for one node,
-constexpr Micros kMaxRequestBackoff = 320'000;  // doubled while no grant comes
+constexpr Micros kMinRequestBackoff = 40'000;   // us between requests for one node, at first
+constexpr Micros kMaxRequestBackoff = 320'000;  // us; it doubles up to this while no grant comes
 constexpr std::size_t kMaxPendingRequests = 16; // for one node
 
 /// The finalizer of MurmurHash3.
--- a/src/overload/slow_start_allocator.hpp
+++ b/src/overload/slow_start_allocator.hpp
@@ -6,8 +6,9 @@
 /// Guarantee. Let C be the budget at the start (Settings::slow_start_units) and E(t) its growth since a
 /// listed start, as slow as the settings allow. What all hosts together send to the node in any window of
 /// length W (Settings::slow_start_window) is at most C, and after a listed start at most C + E(t), t being
-/// the beginning of the window. This holds whichever hosts know of the start and whatever happens to messages
-/// and processes.
+/// the beginning of the window. This holds for the hosts that know of the start, however many they are, and
+/// whatever happens to messages and processes. A host that does not know of it is held by its concurrency
+/// limit alone.
 ///
 /// Rule. A node has S allocators at any time, each for 1 / S of the budget. Which hosts they are follows from
 /// the node's name and the clock alone: time is cut into epochs of kEpochWindows windows, and the epochs of
@@ -32,8 +33,8 @@
 
 namespace marblewood::overload {
 
-/// Threads: one owner, called from one thread. `now` and `started_at` are on the wall clock that all hosts
-/// share; `started_at` is when this host, or the process it took over from, began to decide.
+/// Threads: one owner, called from one thread. `now` and `started_at` are Unix time, on clocks that differ by
+/// one slot at most; `started_at` is when this host, or the process it took over from, began to decide.
 class SlowStartAllocator {
 public:
     explicit SlowStartAllocator(const Settings &settings) : settings_(settings) {}
--- a/src/overload/slow_start_budget.hpp
+++ b/src/overload/slow_start_budget.hpp
@@ -12,8 +12,8 @@
 
 /// The guarantees are those of the two schemes; see their headers.
 ///
-/// Threads: one owner, called from one thread. `now` and `started_at` are on the wall clock that all hosts
-/// share; `started_at` is when this host, or the process it took over from, began to decide.
+/// Threads: one owner, called from one thread. `now` and `started_at` are Unix time, on clocks that differ by
+/// one slot at most; `started_at` is when this host, or the process it took over from, began to decide.
 class SlowStartBudget {
 public:
     explicit SlowStartBudget(const Settings &settings)
--- a/src/overload/slow_start_time_slices.hpp
+++ b/src/overload/slow_start_time_slices.hpp
@@ -5,8 +5,8 @@
 /// Guarantee. Let C be the budget at the start (Settings::slow_start_units) and E(t) its growth since a
 /// listed start, as slow as the settings allow. What all hosts together send to the node in any window of
 /// length W (Settings::slow_start_window) is at most C, and after a listed start at most C + E(t), t being
-/// the beginning of the window. This holds whichever hosts know of the start and whatever happens to
-/// messages.
+/// the beginning of the window. This holds for the hosts that know of the start, however many they are, and
+/// whatever happens to messages. A host that does not know of it is held by its concurrency limit alone.
 ///
 /// Rule. Layer 0 divides C by the absolute clock, among hosts that know of the start from any source. Layer 1
 /// divides E, counted one window late, by the listed start, among hosts whose list has it. A layer is divided
@@ -30,8 +30,8 @@
 
 namespace marblewood::overload {
 
-/// Threads: const; a SlowStartNode belongs to one thread. `now` and `started_at` are on the wall clock that
-/// all hosts share; `started_at` is when this host, or the process it took over from, began to decide.
+/// Threads: const; a SlowStartNode belongs to one thread. `now` and `started_at` are Unix time, on the clock
+/// that all hosts share; `started_at` is when this host, or the process it took over from, began to decide.
 class SlowStartTimeSlices {
 public:
     explicit SlowStartTimeSlices(const Settings &settings) : settings_(settings) {}
--- a/src/policy/health_checks.hpp
+++ b/src/policy/health_checks.hpp
@@ -13,8 +13,8 @@
 
 /// Times that concern one node.
 struct HealthCheckState {
-    Micros last_check = kNever;
-    Micros next_blind_send = kNever; ///< no request of lower priority without evidence before
+    Micros last_check = kLongAgo;
+    Micros next_blind_send = kLongAgo; ///< no request of lower priority without evidence before
 };
 
 /// Where recent evidence of a node's latency is missing, a health check asks for it; a request of lower
--- a/src/policy/node_selector.cpp
+++ b/src/policy/node_selector.cpp
@@ -11,7 +11,7 @@
 constexpr double kLongOverdue = 1.5;
 constexpr double kObservationFadeTime = 5e6; // us; time constant
 constexpr double kEjectedCost = 1e6;         // dwarfs any load
-constexpr Micros kJitterSteps = 1000;        // chance adds up to one part in one to a node's cost
+constexpr Micros kJitterSteps = 1000;        // steps of the random factor, 1 to 2, on a node's cost
 constexpr Micros kRecheckInterval = 10'000;  // us between looks at what waits for no known time
 
 double free_places(const Node &node) {
--- a/src/policy/ordered_keys.hpp
+++ b/src/policy/ordered_keys.hpp
@@ -39,7 +39,7 @@
 private:
     struct Line {
         std::deque<RequestId> line; // in order of arrival
-        Micros paused_until = kNever;
+        Micros paused_until = kLongAgo;
     };
 
     std::map<DataKey, Line> keys_;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -15,8 +15,8 @@
     bool ejected = false;
     int consecutive_failures = 0;
     int consecutive_failed_connects = 0;
-    Micros last_success = kNever;
-    Micros last_failed_connect = kNever;
+    Micros last_success = kLongAgo;
+    Micros last_failed_connect = kLongAgo;
     Micros next_probe_request = 0; ///< while ejected: none before
 };
 
--- a/src/policy/priority.hpp
+++ b/src/policy/priority.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The order of requests: what each is worth now.
+/// The order of requests: the priority of each now.
 #pragma once
 
 #include "policy/node.hpp"
--- a/src/policy/process_lifetime.hpp
+++ b/src/policy/process_lifetime.hpp
@@ -14,7 +14,7 @@
 /// nothing from here, and a node gets the floor of the concurrency limit.
 class ProcessLifetime {
 public:
-    bool started() const { return deciding_since_ != kNever; }
+    bool started() const { return deciding_since_ != kLongAgo; }
     void start(Micros now) { deciding_since_ = now; }
 
     /// A predecessor's decisions count as this process's own.
@@ -30,7 +30,7 @@
     Micros slow_start_since(Micros now) const { return draining_ ? now : deciding_since_; }
 
 private:
-    Micros deciding_since_ = kNever;
+    Micros deciding_since_ = kLongAgo;
     bool draining_ = false;
 };
 
--- a/src/policy/quota_ledger.hpp
+++ b/src/policy/quota_ledger.hpp
@@ -110,7 +110,7 @@
     std::map<VolumeId, Volume> volumes_;
     std::map<VolumeId, HandoverState::VolumeQuota> unclaimed_; // left by a predecessor
     std::set<VolumeId> shortages_;
-    Micros limit_reached_at_ = kNever;
+    Micros limit_reached_at_ = kLongAgo;
 };
 
 } // namespace marblewood::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -55,7 +55,7 @@
                                        request_class.deduplication_scope == DeduplicationScope::All;
     if (request_class.idempotency == Idempotency::Idempotent || !request.first_possible_run() ||
         recognised_everywhere)
-        return FinalAnswer::Reject;
+        return FinalAnswer::Refuse;
     return FinalAnswer::Fail;
 }
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -13,7 +13,7 @@
     Micros not_before = 0;
 };
 enum class FinalAnswer {
-    Reject, ///< nothing was done, and trying again is harmless
+    Refuse, ///< nothing ran, or running it again is harmless
     Fail    ///< the request may or may not have run
 };
 
--- a/src/policy/scheduler_requests.cpp
+++ b/src/policy/scheduler_requests.cpp
@@ -68,7 +68,7 @@
         if (!node)
             return;
         const policy::Selection selection = selector_.select(waiting, *node, quotas_, now_);
-        if (!selection.request) {
+        if (!selection.request) { // other nodes of the shard are tried when it is dispatched again
             ask_for_help(*node, selection);
             return;
         }
@@ -234,7 +234,7 @@
 void Scheduler::State::give_up(Request &request, policy::FinalAnswer answer) {
     if (request.attempts.empty() && !request.shed_counted)
         shedder_.count(shedder_.reason(request, now_));
-    if (answer == policy::FinalAnswer::Reject)
+    if (answer == policy::FinalAnswer::Refuse)
         actions_.add(Refuse{request.id, shedder_.retry_after(request.shard)});
     else
         actions_.add(Fail{request.id});
--- a/src/policy/time.hpp
+++ b/src/policy/time.hpp
@@ -10,7 +10,7 @@
 namespace marblewood::policy {
 
 /// A point in time that lies before every other; far enough from the end of the range to subtract from.
-constexpr Micros kNever = INT64_MIN / 4;
+constexpr Micros kLongAgo = INT64_MIN / 4;
 
 /// The factor by which an exponentially decayed sum shrinks between two times, for a time constant in us.
 inline double decay(Micros from, Micros to, double time_constant) {
--- a/tests/cell_migrations_test.cpp
+++ b/tests/cell_migrations_test.cpp
@@ -357,7 +357,7 @@
     RoutingRequest far = cluster.routing_request();
     far.hops = CellMember::kMaxHops;
     EXPECT_EQ(late.route(cluster.now, far).kind,
-              RoutingDecision::Kind::Reject); // no request goes round for ever
+              RoutingDecision::Kind::Refuse); // no request goes round for ever
 }
 
 // Two brokers of each cell, migrations there and back, losses, duplicates and restarts at random.
--- a/tests/cell_placement_test.cpp
+++ b/tests/cell_placement_test.cpp
@@ -157,7 +157,7 @@
     CellCluster cluster(two_cells(1, 1));
     cluster.brokers.at("a1").set_ready_nodes(0);
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, cluster.routing_request()).kind,
-              RoutingDecision::Kind::Reject);
+              RoutingDecision::Kind::Refuse);
     cluster.brokers.at("a1").set_ready_nodes(1);
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, cluster.routing_request()).kind,
               RoutingDecision::Kind::Serve);
