--- a/tests/helper.hpp
+++ b/tests/helper.hpp
@@ -338,6 +338,20 @@
     R"("usual_units":2.18},"instances":1,"membership_mode":"on_request","period":2.0,"policies":[)"
     R"({"name":"standard","nominal":700.0,"parts":1.0,"pays":1.2,"reserve":800.0}],"position":0})";
 
+// With a latency objective of 5 s for reads, so that a retry is still timely where the machine has stalled:
+// late work is held back (policy/admission.hpp).
+inline std::string settings_with_patient_reads() {
+    std::string settings = kSettings;
+    const auto replace = [&](const std::string &from, const std::string &to) {
+        assert(settings.find(from) != std::string::npos);
+        settings.replace(settings.find(from), from.size(), to);
+    };
+    replace(R"("target":300.0)", R"("target":5000.0)");
+    replace(R"("hard_limit":1500.0)", R"("hard_limit":8000.0)");
+    return settings;
+}
+inline constexpr int kPatientWait = 8000; // ms
+
 // A process of the program, with what it says in a file; it goes with its holder.
 class Child {
 public:
