--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -9,10 +9,11 @@
 constexpr Micros kUrgentWithinObjectives = 2;
 // Weight of the latency samples below which their mean says nothing about the node's present load.
 constexpr double kMinEvidenceWeight = 0.4;
-// The highest mean latency ratio of a node at which requests beyond their reserve are sent to it.
+// The highest mean latency ratios of a node at which it is sent requests within their volume's share, surplus
+// requests and late requests.
 constexpr double kMaxRatioForShare = 1.5;
 constexpr double kMaxRatioForSurplus = 0.4;
-constexpr double kMaxRatioForLate = 0.25; // so low only if the node is idle for other hosts too
+constexpr double kMaxRatioForLate = 0.25; // so low that the node is idle for the other hosts too
 // Fraction of a rate limit's burst that late requests leave in the bucket.
 constexpr double kBurstFractionLeftByLate = 0.9;
 
--- a/src/policy/health_checks.hpp
+++ b/src/policy/health_checks.hpp
@@ -18,8 +18,8 @@
     Micros next_send_without_evidence = kLongAgo;
 };
 
-/// If there are no recent latency samples of a node, a health check asks for its load report. A request of
-/// low priority is sent there without evidence only when the answer to the health check is overdue, and
+/// If there are no recent latency samples of a node, a health check asks for its load report. Late and
+/// surplus requests are sent there without evidence only when the answer to the health check is overdue, and
 /// seldom.
 class HealthChecks {
 public:
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -84,7 +84,7 @@
 Micros LoadShedder::retry_after(ShardId shard) const {
     if (!settings_.retry_after || settings_.max_retry_after <= 0)
         return 0;
-    double rate = 0; // requests/s
+    double rate = 0; // requests/s that the nodes can process for this host
     for (const NodeId id : nodes_.serving(shard)) {
         const Node &node = nodes_.at(id);
         if (!node.ready || node.health.ejected)
--- a/src/policy/quota_ledger.cpp
+++ b/src/policy/quota_ledger.cpp
@@ -105,7 +105,7 @@
         volume.usage_reported = true;
         volume.used_elsewhere += outcome.remote_units;
     }
-    if (outcome.used > 0) { // 1 + percent of the plan's rate
+    if (outcome.used > 0) { // see AttemptEnded::used
         const double used =
             (outcome.used - 1) / 100.0 * request.plan->rate * kUsageTimeConstantMicros / kMicrosPerSecond;
         volume.usage_reported = true;
--- a/src/policy/scheduler_state.hpp
+++ b/src/policy/scheduler_state.hpp
@@ -80,7 +80,7 @@
     void close(Request &request, bool served);
     void erase_if_finished(RequestId id);
 
-    // Helpers.
+    // Lookups, and entries of the agenda.
     Request *find_request(RequestId id);
     policy::Attempt *find_in_flight(Request &request, int attempt) const;
     void schedule_end(Request &request);
