--- a/src/net/client_figures.hpp
+++ b/src/net/client_figures.hpp
@@ -1,4 +1,5 @@
-// Why clients' connections end, and how many did, for the log and the figures.
+/// \file
+/// Close reasons and counters of client connections, for the log and the metrics.
 #pragma once
 
 #include <array>
@@ -8,23 +9,23 @@
 
 namespace marblewood::net {
 
-/// What ended a client's connection, or had the broker begin to end it. The first cause counts.
+/// Why a client connection ended or the broker began to close it. The first cause is recorded.
 enum class CloseReason : std::size_t {
-    ClientDisconnected, ///< the client closed, reset, or was found gone
-    SilentClient,       ///< a new client asked for nothing in time
-    Idle,               ///< a client that has asked before was silent for too long
-    TooManyIdle,        ///< it was unused the longest when too many clients stayed
+    ClientDisconnected, ///< the client closed or reset the connection
+    SilentClient,       ///< a new client sent no request in time
+    Idle,               ///< no new request within the idle timeout
+    TooManyIdle,        ///< the longest idle one when too many connections were kept
     Evicted,            ///< closed to make room for a new connection
-    Incomplete,         ///< a message that had begun did not come whole in time, or found no room in memory
-    ProtocolError,      ///< what came could not be read
-    Quit,               ///< the client asked for the end
-    NotReading,         ///< the client did not read its answers
-    BrokenValue,        ///< a long value broke off at its node
-    KeepAlive,          ///< an NVMe host sent no keep-alive
-    HandedOver,         ///< it goes on in the successor process
-    Quiesce,            ///< operators send clients away
-    Shutdown,           ///< the process ends
-    Failure,            ///< an exception in serving it
+    Incomplete,         ///< a partial message was not completed in time, or memory was exhausted
+    ProtocolError,      ///< the input could not be parsed
+    Quit,               ///< the client sent QUIT
+    NotReading,         ///< the client did not read its answers in time
+    BrokenValue,        ///< a node broke off a value that was being streamed
+    KeepAlive,          ///< an NVMe host sent nothing within its keep-alive timeout
+    HandedOver,         ///< handed over to the successor process
+    Quiesce,            ///< an operator quiesced the broker
+    Shutdown,           ///< the process shuts down
+    Failure,            ///< an exception while serving the client
 };
 inline constexpr std::array<std::string_view, 15> kCloseReasonNames{
     "client_left", "silent",      "idle",    "too_many_idle", "evicted",
@@ -35,11 +36,11 @@
     return kCloseReasonNames[static_cast<std::size_t>(reason)];
 }
 
-/// Clients' connections over all fronts: counts since the start of the process.
+/// Counters of client connections of all front ends since the start of the process.
 struct ClientFigures {
-    std::uint64_t accepted = 0; ///< taken from the listening sockets or from a predecessor
+    std::uint64_t accepted = 0; ///< accepted from the listening sockets or inherited from a parent process
     std::array<std::uint64_t, kCloseReasonNames.size()> closed{};
-    std::uint64_t closed_unread = 0; ///< shut down by the broker over bytes that it had not taken
+    std::uint64_t closed_unread = 0; ///< closed by the broker with unparsed input from the client
 
     std::uint64_t &of(CloseReason reason) { return closed[static_cast<std::size_t>(reason)]; }
 };
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -8,16 +8,16 @@
 namespace marblewood::net {
 namespace {
 
-constexpr Micros kRetryAccept = 10'000; // us before the next accept after a failed one
-// us without a connection after which, at a drain, none is awaited: new ones keep coming for 0.4 s
-constexpr Micros kStillComing = 450'000;
-constexpr std::chrono::milliseconds kAddressHeld{8'000}, kAddressLook{10}; // before anything is served
-constexpr Micros kFrontMoves = 1'000'000;  // us from quiescing until clients' connections are closed
-constexpr Micros kQueueWithin = 100'000;   // us for the queue to be accepted at the end
-constexpr Micros kQueueLook = 1'000;       // us between looks at it
-constexpr int kAcceptsAtOnce = 4096;       // more than the queue holds
-constexpr Micros kReportEvery = 1'000'000; // us between reports of connections that are being closed
-constexpr Micros kSlowToClose = 500'000;   // us from being told to end, beyond which the log says how it went
+constexpr Micros kAcceptRetryDelay = 10'000; // also the interval of advance_drain()
+// After this time without connections a drain stops listening: new connections keep arriving for 0.4 s.
+constexpr Micros kMinTimeWithoutArrivals = 450'000;
+constexpr std::chrono::milliseconds kBindTimeout{8'000}, kBindRetryInterval{10}; // while the process starts
+constexpr Micros kQuiesceGrace = 1'000'000; // between the quiesce call and the closing of connections
+constexpr Micros kBacklogTimeout = 100'000; // for accepting the backlog at the end of a drain
+constexpr Micros kBacklogCheckInterval = 1'000;
+constexpr int kMaxAcceptsPerTurn = 4096; // more than the backlog holds
+constexpr Micros kReportInterval = 1'000'000;
+constexpr Micros kSlowClose = 500'000; // a connection that takes longer to close is logged
 
 tcp protocol_of(int socket) {
     sockaddr at{};
@@ -25,15 +25,16 @@
     return ::getsockname(socket, &at, &size) == 0 && at.sa_family == AF_INET6 ? tcp::v6() : tcp::v4();
 }
 
-// An accept that fails must neither block nor be tried again out of sight.
-tcp::acceptor for_accept_next(tcp::acceptor acceptor) {
+// Makes a failing accept neither block nor be retried inside Asio, so that accept_next() sees every error.
+tcp::acceptor prepare_for_accept_next(tcp::acceptor acceptor) {
     acceptor.non_blocking(true);
     acceptor.set_option(tcp::acceptor::enable_connection_aborted(true));
     return acceptor;
 }
 
-// Errors of socket() and bind() that pass: the address is still held, or the system is short of something.
-bool passes(const boost::system::error_code &error) {
+// Whether an error of socket() or bind() is transient: the address is still in use, or the system is short of
+// descriptors or memory.
+bool is_transient(const boost::system::error_code &error) {
     const int number = error.value();
     return error == asio::error::address_in_use || number == EMFILE || number == ENFILE ||
            number == ENOBUFS || number == ENOMEM;
@@ -41,23 +42,23 @@
 
 } // namespace
 
-void Client::end_by(CloseReason why, Micros now, Micros time, bool lone_requests) {
-    note(why);
+void Client::begin_closing_by(CloseReason why, Micros now, Micros time, bool withdraw_lone_requests) {
+    note_close_reason(why);
     if (!use().closing) {
-        closing.since = now;
-        closing.end_by = time;
+        closing.started_at = now;
+        closing.deadline = time;
     }
-    closing.end_by = std::min(closing.end_by, time);
-    closing.lone_requests = closing.lone_requests || lone_requests;
+    closing.deadline = std::min(closing.deadline, time);
+    closing.withdraw_lone_requests = closing.withdraw_lone_requests || withdraw_lone_requests;
     mark_closing();
     if (notify)
         notify();
 }
 
 tcp::acceptor listen_at(asio::io_context &io, const tcp::endpoint &at) {
-    // The process that had the address before may still be on its way out.
-    const auto until = std::chrono::steady_clock::now() + kAddressHeld;
-    for (bool said = false;; std::this_thread::sleep_for(kAddressLook)) {
+    // The process that used the address before may still be exiting.
+    const auto until = std::chrono::steady_clock::now() + kBindTimeout;
+    for (bool logged = false;; std::this_thread::sleep_for(kBindRetryInterval)) {
         tcp::acceptor acceptor(io);
         boost::system::error_code error;
         acceptor.open(at.protocol(), error);
@@ -68,25 +69,25 @@
         if (!error)
             acceptor.listen(1024, error);
         if (!error)
-            return for_accept_next(std::move(acceptor));
-        if (!passes(error) || std::chrono::steady_clock::now() >= until)
+            return prepare_for_accept_next(std::move(acceptor));
+        if (!is_transient(error) || std::chrono::steady_clock::now() >= until)
             throw boost::system::system_error(error, fmt::format("port {}", at.port()));
         const bool held = error == asio::error::address_in_use;
-        if (!std::exchange(said, true))
+        if (!std::exchange(logged, true))
             core::log("port {} {}: waiting", at.port(),
                       held ? "is held by another process" : "can't be had now (" + error.message() + ")");
     }
 }
 
 tcp::acceptor listen_with(asio::io_context &io, Descriptor socket) {
-    int listens = 0;
-    socklen_t size = sizeof listens;
-    if (::getsockopt(socket.get(), SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || !listens)
+    int is_listening = 0;
+    socklen_t size = sizeof is_listening;
+    if (::getsockopt(socket.get(), SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) != 0 || !is_listening)
         throw boost::system::system_error(asio::error::invalid_argument, "not a listening socket");
     tcp::acceptor acceptor(io);
     acceptor.assign(protocol_of(socket.get()), socket.get());
     socket.release();
-    return for_accept_next(std::move(acceptor));
+    return prepare_for_accept_next(std::move(acceptor));
 }
 
 Clients::Clients(asio::io_context &io, core::Deadlines &deadlines, SocketBudget &budget,
@@ -97,19 +98,20 @@
 }
 
 asio::awaitable<void> Clients::accept() {
-    asio::steady_timer rest(io_);
+    asio::steady_timer retry_timer(io_);
     while (acceptor_.is_open()) {
         if (paused_) {
             co_await resumed_.take();
             continue;
         }
-        // A request may be written to a connection that waits to be accepted, and counts as taken then. So
-        // room is made by closing an idle client, never by not accepting: one that holds a connection and
-        // says nothing before one that comes back to it.
+        // A client may already have written a request to a connection in the backlog, and takes it for
+        // received. So room is made by closing an idle connection, never by not accepting; EvictionOrder
+        // decides which.
         boost::system::error_code error;
-        if (budget_.clients_full() && !evict_one()) { // what nodes and discovery need is not given away
-            rest.expires_after(std::chrono::microseconds(kRetryAccept));
-            co_await rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
+        // Descriptors reserved for nodes and discovery are never used for clients.
+        if (budget_.clients_full() && !evict_one()) {
+            retry_timer.expires_after(std::chrono::microseconds(kAcceptRetryDelay));
+            co_await retry_timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
         tcp::socket socket(io_);
@@ -118,12 +120,12 @@
             if (!acceptor_.is_open())
                 break;
             if (error == asio::error::operation_aborted)
-                continue;                             // paused, or resumed again by now
-            core::log("accept: {}", error.message()); // out of descriptors, say: it passes
+                continue;                             // paused, and possibly resumed since
+            core::log("accept: {}", error.message()); // transient, such as a lack of descriptors
             if (error.value() == EMFILE || error.value() == ENFILE)
                 evict_one();
-            rest.expires_after(std::chrono::microseconds(kRetryAccept));
-            co_await rest.async_wait(asio::redirect_error(asio::use_awaitable, error));
+            retry_timer.expires_after(std::chrono::microseconds(kAcceptRetryDelay));
+            co_await retry_timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
         socket.set_option(tcp::no_delay(true), error);
@@ -131,22 +133,22 @@
     }
 }
 
-void Clients::admit(tcp::socket socket, Passed early) {
-    const Micros now = last_change_ = deadlines_.clock.now();
+void Clients::admit(tcp::socket socket, Passed inherited) {
+    const Micros now = last_change_at_ = deadlines_.clock.now();
     const std::uint64_t number = ++figures_.accepted;
     const auto client = clients_.emplace(clients_.end(), std::move(socket), order_, now, number);
     client->lease = budget_.client();
-    if (early.asked)
-        client->mark_asked();
-    client->early = std::move(early);
-    client->pass = pass_;
-    client->staying = done_ != nullptr;
-    if (sending_away())
-        client->send_away(now);
+    if (inherited.asked)
+        client->mark_requested();
+    client->inherited = std::move(inherited);
+    client->transfer = transfer_;
+    client->exempt_from_idle_timeout = on_drained_ != nullptr;
+    if (closing_for_quiesce())
+        client->close_for_quiesce(now);
     if (closing_all_)
-        client->shut_down(now, answer_all_at_);
+        client->close_for_shutdown(now, answer_all_at_);
     asio::co_spawn(io_, serve(client), asio::detached);
-    limit_idle_askers();
+    limit_idle_requesters();
 }
 
 void Clients::pause() {
@@ -160,32 +162,33 @@
         resumed_.put(true);
 }
 
-void Clients::hand_over(std::function<void(Passed)> pass) {
-    pass_ = std::move(pass);
+void Clients::hand_over(std::function<void(Passed)> transfer) {
+    transfer_ = std::move(transfer);
     for (Client &client : clients_) {
-        client.pass = pass_;
-        if (pass_ && client.notify)
+        client.transfer = transfer_;
+        if (transfer_ && client.notify)
             client.notify();
     }
 }
 
-void Clients::adopt(Passed passed) {
+void Clients::adopt(Passed inherited) {
     budget_.came_over();
     if (budget_.clients_full())
         evict_one();
     tcp::socket socket(io_);
     boost::system::error_code error;
-    const int fd = passed.descriptor.get();
+    const int fd = inherited.descriptor.get();
     socket.assign(protocol_of(fd), fd, error);
     if (error)
-        return core::log("a client's connection can't be taken over: {}", error.message());
-    passed.descriptor.release();
-    admit(std::move(socket), std::move(passed));
+        return core::log("cannot take over a client connection: {}", error.message());
+    inherited.descriptor.release();
+    admit(std::move(socket), std::move(inherited));
 }
 
 bool Clients::evict_one() {
-    EvictionOrder::Entry *const entry = order_.next(
-        deadlines_.clock.now(), [](EvictionOrder::Entry &e) { return static_cast<Client &>(e).unread(); });
+    EvictionOrder::Entry *const entry = order_.next(deadlines_.clock.now(), [](EvictionOrder::Entry &e) {
+        return static_cast<Client &>(e).has_unread_bytes();
+    });
     if (!entry)
         return false;
     Client &client = static_cast<Client &>(*entry);
@@ -194,62 +197,62 @@
     return true;
 }
 
-// Some clients ask once and stay, each on a connection of its own. What they hold of the connections that
-// clients may have is missing to those who want to ask.
-void Clients::limit_idle_askers() {
-    if (order_.askers() < static_cast<std::size_t>(budget_.most_kept()))
+// Some clients send one request and stay connected, each on a connection of its own. As the number of client
+// connections is limited, they would keep others from sending requests.
+void Clients::limit_idle_requesters() {
+    if (order_.requesters() < static_cast<std::size_t>(budget_.most_kept()))
         return;
-    // At a handover a connection closed as its next request comes would turn that back; at a drain its client
-    // could not come again.
-    if (budget_.shared() || done_)
+    // During a handover, closing a connection while its next request arrives would reject that request.
+    // During a drain, the client could not reconnect.
+    if (budget_.shared() || on_drained_)
         return;
-    if (EvictionOrder::Entry *const entry = order_.longest_idle_asker())
+    if (EvictionOrder::Entry *const entry = order_.longest_idle_requester())
         static_cast<Client &>(*entry).begin_closing(CloseReason::TooManyIdle, deadlines_.clock.now());
 }
 
 asio::awaitable<void> Clients::serve(std::list<Client>::iterator client) {
     try {
         co_await front_(*client);
-    } catch (const std::exception &error) { // a client's trouble ends its connection, not the broker
+    } catch (const std::exception &error) { // ends this connection only, not the broker
         core::log("client {}: {}", client->id, error.what());
-        client->note(CloseReason::Failure);
+        client->note_close_reason(CloseReason::Failure);
     }
     client->close(CloseReason::ClientDisconnected);
-    ++figures_.of(*client->reason);
+    ++figures_.of(*client->close_reason);
     if (client->dropped_before_shutdown > 0)
         ++figures_.closed_unread;
     log_ended(*client);
     clients_.erase(client);
-    last_change_ = deadlines_.clock.now();
-    if (done_ && clients_.empty() && !acceptor_.is_open())
-        std::exchange(done_, nullptr)();
+    last_change_at_ = deadlines_.clock.now();
+    if (on_drained_ && clients_.empty() && !acceptor_.is_open())
+        std::exchange(on_drained_, nullptr)();
 }
 
-void Clients::drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done) {
-    done_ = std::move(done);
+void Clients::drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> on_drained) {
+    on_drained_ = std::move(on_drained);
     close_connections_at_ = close_connections_at;
     answer_all_at_ = answer_all_at;
-    last_change_ = deadlines_.clock.now();
+    last_change_at_ = deadlines_.clock.now();
     for (Client &client : clients_) {
-        client.staying = true;
+        client.exempt_from_idle_timeout = true;
         if (client.notify)
             client.notify();
     }
-    drain_turn();
+    advance_drain();
 }
 
 void Clients::quiesce(std::optional<Micros> since) {
-    if (since.has_value() == quiesced_.has_value())
+    if (since.has_value() == quiesced_since_.has_value())
         return;
-    quiesced_ = since;
+    quiesced_since_ = since;
     quiesce_timer_.reset();
-    report_.reset();
-    core::log("quiesce: {}", since ? "clients are sent away once the front has moved" : "over");
+    report_timer_.reset();
+    core::log("quiesce: {}", since ? "client connections will be closed after the grace period" : "ended");
     if (!since)
         return;
-    quiesce_timer_ = deadlines_.at(*since + kFrontMoves, [this] {
+    quiesce_timer_ = deadlines_.at(*since + kQuiesceGrace, [this] {
         report_closing("quiesce");
-        send_away();
+        close_for_quiesce();
     });
 }
 
@@ -258,25 +261,28 @@
         std::ranges::count_if(clients_, [](const Client &client) { return client.use().closing; }));
 }
 
-// While operators send clients away or the process ends, each that ends has a line, within a bound; at other
-// times those that took long to end, and those that the broker ended over bytes that it had not taken.
+// Logs the end of a connection, rate limited: of each one that was being closed while the broker is quiesced
+// or shuts down, otherwise only of those that took at least kSlowClose to close, and always of those that the
+// broker closed with unparsed input.
 void Clients::log_ended(const Client &client) {
     const Micros now = deadlines_.clock.now();
-    const Micros took = now - client.closing.since;
-    const bool told = client.closing.since != 0 && (took >= kSlowToClose || quiesced_ || done_);
-    if (!told && client.dropped_before_shutdown == 0)
+    const Micros took = now - client.closing.started_at;
+    const bool reportable =
+        client.closing.started_at != 0 && (took >= kSlowClose || quiesced_since_ || on_drained_);
+    if (!reportable && client.dropped_before_shutdown == 0)
         return;
-    if (!ended_lines_.allow(now))
+    if (!ended_line_limiter_.allow(now))
         return;
-    core::log("client {} ended after {} ms, {} ms after it was to ({}); requests read meanwhile: {}, "
-              "has asked: {}; bytes dropped before its shutdown: {}, after it: {}; lines left out: {}",
-              client.id, (now - client.use().accepted) / 1000, client.closing.since == 0 ? 0 : took / 1000,
-              name(*client.reason), client.asked_since, client.use().asked, client.dropped_before_shutdown,
-              client.dropped_after_shutdown, ended_lines_.take_suppressed());
+    core::log("client {} ended after {} ms, {} ms after closing began ({}); requests received then: {}, "
+              "has sent a request: {}; bytes discarded before shutdown: {}, after: {}; suppressed lines: {}",
+              client.id, (now - client.use().accepted) / 1000,
+              client.closing.started_at == 0 ? 0 : took / 1000, name(*client.close_reason),
+              client.requests_while_closing, client.use().has_requested, client.dropped_before_shutdown,
+              client.dropped_after_shutdown, ended_line_limiter_.take_suppressed());
 }
 
 void Clients::report_closing(std::string_view cause) {
-    const auto open_requests = [](const Client &client) { return client.use().owed > 0; };
+    const auto open_requests = [](const Client &client) { return client.use().open_requests > 0; };
     const auto partial = [](const Client &client) { return client.use().partial; };
     core::log(
         "{}: {} client connections open, {} of them closing, {} with open requests, {} with part of one",
@@ -284,51 +290,51 @@
         std::ranges::count_if(clients_, partial));
     const Client *longest = nullptr;
     for (const Client &client : clients_)
-        if (client.use().closing && (!longest || client.closing.since < longest->closing.since))
+        if (client.use().closing && (!longest || client.closing.started_at < longest->closing.started_at))
             longest = &client;
     if (longest)
-        core::log("{}: client {} is closing for {} ms ({}): open requests {}, read meanwhile {}, part of one "
-                  "{}, unwritten answers {}",
-                  cause, longest->id, (deadlines_.clock.now() - longest->closing.since) / 1000,
-                  name(*longest->reason), longest->use().owed, longest->asked_since, longest->use().partial,
-                  longest->writing);
-    report_ = deadlines_.in(kReportEvery, [this, cause] {
+        core::log("{}: client {} has been closing for {} ms ({}): open requests {}, received meanwhile {}, "
+                  "partial request {}, unwritten answers {}",
+                  cause, longest->id, (deadlines_.clock.now() - longest->closing.started_at) / 1000,
+                  name(*longest->close_reason), longest->use().open_requests, longest->requests_while_closing,
+                  longest->use().partial, longest->writing);
+    report_timer_ = deadlines_.in(kReportInterval, [this, cause] {
         if (!clients_.empty())
             report_closing(cause);
     });
 }
 
-bool Clients::sending_away() const {
-    return quiesced_ && !done_ && deadlines_.clock.now() >= *quiesced_ + kFrontMoves;
+bool Clients::closing_for_quiesce() const {
+    return quiesced_since_ && !on_drained_ && deadlines_.clock.now() >= *quiesced_since_ + kQuiesceGrace;
 }
 
-// Those who are there; who comes later is told as it is admitted.
-void Clients::send_away() {
+// Closes the connections that are open now; admit() does so for later ones.
+void Clients::close_for_quiesce() {
     const Micros now = deadlines_.clock.now();
     for (Client &client : clients_)
-        client.send_away(now);
+        client.close_for_quiesce(now);
 }
 
-// Clients go on using what connections they have for as long as those are open, and cannot know of a broker
-// that has gone.
-void Clients::drain_turn() {
+// Performs the next step of a drain. Clients use their open connections for as long as these stay open, and
+// cannot know that a broker is about to exit, so the broker has to close the connections itself.
+void Clients::advance_drain() {
     const Micros now = deadlines_.clock.now();
     if (now >= close_connections_at_ && !closing_all_)
         begin_closing_all();
-    const bool none_comes = clients_.empty() && now - last_change_ >= kStillComing;
-    if (now < answer_all_at_ && !none_comes) {
-        drain_timer_ = deadlines_.in(kRetryAccept, [this] { drain_turn(); });
+    const bool no_arrivals = clients_.empty() && now - last_change_at_ >= kMinTimeWithoutArrivals;
+    if (now < answer_all_at_ && !no_arrivals) {
+        drain_timer_ = deadlines_.in(kAcceptRetryDelay, [this] { advance_drain(); });
         return;
     }
     closing_all_ = true;
-    const bool last = now >= answer_all_at_ + kQueueWithin;
-    if (!paused_ && !accept_queue(last) && !last) { // else a successor accepts
-        drain_timer_ = deadlines_.in(kQueueLook, [this] { drain_turn(); });
+    const bool last = now >= answer_all_at_ + kBacklogTimeout;
+    if (!paused_ && !accept_backlog(last) && !last) { // if paused, a successor process accepts them
+        drain_timer_ = deadlines_.in(kBacklogCheckInterval, [this] { advance_drain(); });
         return;
     }
     stop_listening();
-    if (clients_.empty() && done_)
-        std::exchange(done_, nullptr)();
+    if (clients_.empty() && on_drained_)
+        std::exchange(on_drained_, nullptr)();
 }
 
 void Clients::begin_closing_all() {
@@ -336,13 +342,14 @@
     report_closing("shutdown");
     const Micros now = deadlines_.clock.now();
     for (Client &client : clients_)
-        client.shut_down(now, answer_all_at_);
+        client.close_for_shutdown(now, answer_all_at_);
 }
 
-// What waits to be accepted may have a request written to it, which counts as taken. Accepts all of it in one
-// turn, as others may join it in the meantime, and as there is room, or without: `last`. Whether none waits.
-bool Clients::accept_queue(bool last) {
-    for (int n = 0; n < kAcceptsAtOnce; ++n) {
+// Accepts all connections in the backlog in one turn of the event loop, as a client may already have written
+// a request to one of them, and as others may arrive in the meantime. Stops when there is no room, unless
+// `last` is set. Returns whether the backlog is empty.
+bool Clients::accept_backlog(bool last) {
+    for (int n = 0; n < kMaxAcceptsPerTurn; ++n) {
         if (budget_.clients_full() && !evict_one() && !last)
             return false;
         tcp::socket socket(io_);
@@ -353,8 +360,8 @@
         if (error.value() == EMFILE || error.value() == ENFILE)
             evict_one();
         if (error)
-            return false; // one connection has gone, or it passes
-        ++last_accepts_;
+            return false; // the connection was aborted, or the error is transient
+        ++accepted_at_end_;
         admit(std::move(socket), Passed());
     }
     return false;
@@ -363,7 +370,8 @@
 void Clients::stop_listening() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
-    core::log("shutdown: takes no more connections; {} were in the queue at the end", last_accepts_);
+    core::log("shutdown: stopped listening; {} connections were accepted from the backlog at the end",
+              accepted_at_end_);
 }
 
 } // namespace marblewood::net
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -1,4 +1,6 @@
-// Accepts clients, within the budget of sockets, and lets them go at the end.
+/// \file
+/// Accepts client connections within the socket budget, and closes them: to make room for others, while the
+/// broker is quiesced, and at shutdown.
 #pragma once
 
 #include "core/log.hpp"
@@ -15,151 +17,171 @@
 
 namespace marblewood::net {
 
-struct Passed {        // a client's connection on its way from one process to another, between requests
-    std::string front; // which one serves it
+/// A client connection that is handed over from one process to another between two requests.
+struct Passed {
+    std::string front; // name of the front end that serves it
     bool asked = false;
-    Micros since = 0;  // when the first of these came:
-    std::string bytes; // read of its next request
+    Micros since = 0;  // when the first byte of `bytes` was received
+    std::string bytes; // the part of its next request that has been read
     Descriptor descriptor;
 };
 
-/// How a connection ends that has been told to. Times are Unix time in us.
+/// The state of closing a client connection. Times are Unix time in microseconds.
 ///
-/// A client may go on sending, and one that pipelines is never between requests. So nothing waits for that:
-/// from kCrossing on new requests are refused at once, and at `end_by` what is open is withdrawn and all that
-/// is new refused. The connection is over at the first instant at which nothing is owed, unwritten or unread;
-/// it is read until that very instant.
+/// A client may keep sending requests, and one that pipelines always has a request open, so the broker does
+/// not wait for a pause. After kCrossingGrace new requests are refused at once; at `deadline` open requests
+/// are withdrawn and all new ones refused. The connection is shut down as soon as there is no open request
+/// and nothing left to write or to read; it is read until then.
 struct Closing {
-    /// us for which requests that cross the beginning are still served.
-    static constexpr Micros kCrossing = 100'000;
-    /// us until the end, unless the process ends earlier: a request that takes 2 s to write comes whole.
-    static constexpr Micros kWithin = 2'200'000;
-    /// us beyond that for a client to read its answers.
-    static constexpr Micros kFlushWithin = 300'000;
-    /// us beyond that for the rest of a request that has begun, and for the first of a new connection.
-    static constexpr Micros kRestWithin = 50'000;
-
-    /// us from its accept for which a new connection stands: its client may send several requests at once.
-    static constexpr Micros kBurstWithin = 5'000;
-    /// us for a client that has said nothing yet to begin: its first request may be on its way.
-    static constexpr Micros kFirstWithin = 20'000;
-
-    Micros since = 0; ///< 0: it has not been told to end
-    Micros end_by = 0;
-    /// Whether a request is withdrawn, too, after which nothing has come. If not, it keeps its own time.
-    bool lone_requests = false;
-    /// `end_by` is over: what was open has been withdrawn, and whatever comes is refused.
+    /// For how long new requests are still served, as the client may have sent them before the close began.
+    static constexpr Micros kCrossingGrace = 100'000;
+    /// From the start of closing to the deadline, unless the process ends earlier. Long enough for a request
+    /// that takes 2 s to write.
+    static constexpr Micros kCloseTimeout = 2'200'000;
+    /// After the deadline, for the client to read its answers.
+    static constexpr Micros kFlushTimeout = 300'000;
+    /// After the deadline, for the rest of a partial request and the first request of a new connection.
+    static constexpr Micros kRemainderTimeout = 50'000;
+
+    /// After the accept, for which a connection is kept open: its client may send several requests in a row.
+    static constexpr Micros kBurstGrace = 5'000;
+    /// For a client that has sent nothing yet at a quiesce: its first request may be in transit.
+    static constexpr Micros kFirstByteTimeout = 20'000;
+
+    Micros started_at = 0; ///< 0: the connection is not closing
+    Micros deadline = 0;
+    /// Whether open requests are withdrawn at the deadline even if nothing has been received after them. If
+    /// not, they keep their own deadlines.
+    bool withdraw_lone_requests = false;
+    /// The deadline has passed: open requests have been withdrawn, and new ones are refused.
     bool withdrawn = false;
 
-    /// Until when the first bytes of a client are awaited that has said nothing; 0: not at all.
-    Micros first_until = 0;
-    /// Until when the rest of a request is awaited once requests have been withdrawn.
-    Micros rest_until = 0;
+    /// Until when to wait for the first bytes of a client that has sent nothing; 0: do not wait.
+    Micros first_byte_until = 0;
+    /// Until when to wait for the rest of a partial request once open requests have been withdrawn.
+    Micros remainder_until = 0;
 
-    bool crossed(Micros now) const { return since > 0 && now - since >= kCrossing; }
+    /// Whether the connection began to close at least kCrossingGrace ago.
+    bool past_crossing_grace(Micros now) const {
+        return started_at > 0 && now - started_at >= kCrossingGrace;
+    }
 };
 
-/// One client's connection, as its front sees it. How it is used is said through EvictionOrder::Entry.
+/// One client connection, as its front end sees it. The front end reports its use through
+/// EvictionOrder::Entry.
 struct Client : EvictionOrder::Entry {
     Client(tcp::socket s, EvictionOrder &order, Micros accepted, std::uint64_t number)
         : Entry(order, accepted), socket(std::move(s)), id(number) {}
     tcp::socket socket;
     const std::uint64_t id; // unique within the process, for the log
     SocketBudget::Lease lease;
-    bool staying = false;             // may be idle: this broker drains, and it could not come again
-    std::function<void()> notify;     // set by the front: look at `closing` and `pass`
-    std::function<void(Passed)> pass; // set while connections are handed to another process
-    Passed early;                     // what came with it from there
+    bool exempt_from_idle_timeout = false; // while the broker drains, when the client could not reconnect
+    std::function<void()> notify; // set by the session; called when `closing` or `transfer` has changed
+    std::function<void(Passed)> transfer; // set during a handover: gives the connection to the other process
+    Passed inherited; // the state with which the connection was handed over to this process
 
-    std::optional<CloseReason> reason; // the first cause of its end
+    std::optional<CloseReason> close_reason; // the first reason to close it
     Closing closing;
-    std::uint64_t asked_since = 0; // requests read since it was told to end
-    bool writing = false;          // bytes for it are not written yet
-    /// Bytes that came after its reading had ended and were dropped: until the sending side was shut down,
-    /// and after that. The former may be a request without an answer; the latter crossed the end.
+    std::uint64_t requests_while_closing = 0; // requests received since it began to close
+    bool writing = false;                     // a write to the client is in progress
+    /// Bytes received and discarded after the session stopped parsing: before the sending side was shut down,
+    /// and after. The former may hold a request that gets no answer; the latter were sent before the client
+    /// saw the end of the stream.
     std::size_t dropped_before_shutdown = 0, dropped_after_shutdown = 0;
 
     bool idle() const { return use().idle(); }
-    /// Whether a request that has come now is refused: not the first, which the connection was made for,
-    /// while there is time.
-    bool refuses(Micros now) const { return closing.withdrawn || (use().asked && closing.crossed(now)); }
-    void note(CloseReason why) {
-        if (!reason)
-            reason = why;
+    /// Whether a request received now is refused. A connection's first request, for which it was opened, is
+    /// served until the deadline.
+    bool refuses(Micros now) const {
+        return closing.withdrawn || (use().has_requested && closing.past_crossing_grace(now));
+    }
+    void note_close_reason(CloseReason why) {
+        if (!close_reason)
+            close_reason = why;
     }
     std::size_t unread_bytes() {
         boost::system::error_code error;
         const std::size_t bytes = socket.available(error);
         return error ? 0 : bytes;
     }
-    bool unread() { return unread_bytes() > 0; }
-    /// Takes no more requests; the front ends the connection once what is owed is paid.
-    void begin_closing(CloseReason why, Micros now) { end_by(why, now, now + Closing::kWithin, false); }
-    /// The same while operators send clients away: one that has just come is given the time to ask.
-    void send_away(Micros now) {
+    bool has_unread_bytes() { return unread_bytes() > 0; }
+    /// Begins to close the connection; the session shuts it down once all open requests are answered.
+    void begin_closing(CloseReason why, Micros now) {
+        begin_closing_by(why, now, now + Closing::kCloseTimeout, false);
+    }
+    /// Begins to close the connection because the broker is quiesced. A new one gets kFirstByteTimeout to
+    /// begin a request.
+    void close_for_quiesce(Micros now) {
         if (use().closing)
             return;
-        closing.first_until = now + Closing::kFirstWithin;
+        closing.first_byte_until = now + Closing::kFirstByteTimeout;
         begin_closing(CloseReason::Quiesce, now);
     }
-    /// The same at the end of the process, where one that has come lately may wait until requests are
-    /// withdrawn.
-    void shut_down(Micros now, Micros answer_all_at) {
-        closing.first_until =
-            std::min(use().accepted + EvictionOrder::kNewcomerGrace, answer_all_at + Closing::kRestWithin);
-        end_by(CloseReason::Shutdown, now, answer_all_at, true);
+    /// Begins to close the connection at shutdown. A new one may stay open until kRemainderTimeout after
+    /// requests are withdrawn.
+    void close_for_shutdown(Micros now, Micros answer_all_at) {
+        closing.first_byte_until = std::min(use().accepted + EvictionOrder::kNewcomerGrace,
+                                            answer_all_at + Closing::kRemainderTimeout);
+        begin_closing_by(CloseReason::Shutdown, now, answer_all_at, true);
     }
-    /// The same, with the time by which it has to be over. Told again, the earlier time counts.
-    void end_by(CloseReason why, Micros now, Micros time, bool lone_requests);
+    /// Begins to close the connection with the deadline `time`. If it is closing already, the earlier
+    /// deadline counts.
+    void begin_closing_by(CloseReason why, Micros now, Micros time, bool withdraw_lone_requests);
+    /// Closes the socket at once.
     void close(CloseReason why) {
-        note(why);
+        note_close_reason(why);
         boost::system::error_code ignored;
         socket.shutdown(tcp::socket::shutdown_both, ignored);
         socket.close(ignored);
     }
 };
 
-// Listens at an address, or takes over a socket that listens already; throws boost::system::system_error.
+/// Listens on an address, or takes over a listening socket. Both throw boost::system::system_error.
 tcp::acceptor listen_at(asio::io_context &io, const tcp::endpoint &at);
 tcp::acceptor listen_with(asio::io_context &io, Descriptor socket);
 
+/// The client connections of one listening socket and one front end.
 class Clients {
 public:
     using Front = std::function<asio::awaitable<void>(Client &)>;
 
     Clients(asio::io_context &io, core::Deadlines &deadlines, SocketBudget &budget, ClientFigures &figures,
             tcp::acceptor acceptor, Front front);
-    // At a planned end: serves on until `close_connections_at`, then ends connections between requests, and
-    // still takes new ones, for requests that have crossed such an end; at `answer_all_at` it stops
-    // listening, and what is open is answered. `done` is called once no connection is left.
-    void drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done);
-    // Sends all away once those who direct clients have had time to turn to others since the time given, or
-    // stops doing so. New ones are still taken, and served. Called again, it changes nothing.
+    /// Shuts down in an orderly way. Serves all connections until `close_connections_at`, then closes them
+    /// between requests, but still accepts new ones, as clients resend requests that crossed such a close. At
+    /// `answer_all_at` it stops listening, and open requests are answered at once. Calls `on_drained` once no
+    /// connection is left.
+    void drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> on_drained);
+    /// Closes all connections once the load balancers in front have had kQuiesceGrace since the time given to
+    /// direct clients to other brokers; with no time, stops doing so. New connections are still accepted and
+    /// served. Idempotent.
     void quiesce(std::optional<Micros> since);
-    // Accepts no more, until resumed.
+    /// Stops accepting connections until resume() is called.
     void pause();
     void resume();
-    // Hands each connection on between requests, as far as its front can; with nothing given, no more.
-    void hand_over(std::function<void(Passed)> pass);
-    void adopt(Passed passed);
+    /// Hands over each connection between two requests, if its front end can; an empty function ends this.
+    void hand_over(std::function<void(Passed)> transfer);
+    /// Serves a connection that another process has handed over.
+    void adopt(Passed inherited);
     int listener() { return acceptor_.native_handle(); }
     std::size_t open() const { return clients_.size(); }
-    std::size_t closing() const; // told to end, and not ended yet
+    std::size_t closing() const; ///< number of connections that are closing and still open
 
 private:
     asio::awaitable<void> accept();
-    void admit(tcp::socket socket, Passed early);
+    void admit(tcp::socket socket, Passed inherited);
     asio::awaitable<void> serve(std::list<Client>::iterator client);
-    bool evict_one();         // to make room; false: all are in use
-    void limit_idle_askers(); // closes the longest unused, if too many clients that asked stay
-    void drain_turn();
+    bool evict_one(); // closes one to make room; false: all are in use
+    // Closes the longest idle connection if too many clients stay connected after a request.
+    void limit_idle_requesters();
+    void advance_drain();
     void begin_closing_all();
-    bool accept_queue(bool last);
+    bool accept_backlog(bool last);
     void stop_listening();
-    void send_away();
-    bool sending_away() const; // operators want it, and the front has had its time to move
+    void close_for_quiesce();
+    bool closing_for_quiesce() const; // the broker is quiesced and kQuiesceGrace is over
     void log_ended(const Client &client);
-    // Says, each second while connections are being closed for the cause given, what keeps them.
+    // Logs every kReportInterval, while any connection is open, what keeps the closing ones open.
     void report_closing(std::string_view cause);
 
     asio::io_context &io_;
@@ -168,20 +190,20 @@
     ClientFigures &figures_;
     tcp::acceptor acceptor_;
     Front front_;
-    EvictionOrder order_; // outlives the clients, which are filed in it
+    EvictionOrder order_; // has to outlive the clients, which are its entries
     std::list<Client> clients_;
-    std::function<void()> done_;
-    std::function<void(Passed)> pass_;
+    std::function<void()> on_drained_;
+    std::function<void(Passed)> transfer_;
     bool paused_ = false;
     core::Mailbox<bool> resumed_;
-    std::optional<Micros> quiesced_;                      // since when
+    std::optional<Micros> quiesced_since_;
     Micros close_connections_at_ = 0, answer_all_at_ = 0; // while it drains
-    int last_accepts_ = 0;                                // once connections are withdrawn
-    bool closing_all_ = false;                            // close_connections_at_ is over
-    Micros last_change_ = 0;                              // when a connection last came or ended
-    core::Deadlines::Entry drain_timer_, quiesce_timer_, report_;
-    static constexpr int kEndedLines = 50; // a second
-    core::LogRateLimiter ended_lines_{kEndedLines};
+    int accepted_at_end_ = 0;                             // connections that accept_backlog() has accepted
+    bool closing_all_ = false;                            // close_connections_at_ has passed
+    Micros last_change_at_ = 0;                           // when a connection was last accepted or ended
+    core::Deadlines::Entry drain_timer_, quiesce_timer_, report_timer_;
+    static constexpr int kMaxEndedLinesPerSecond = 50;
+    core::LogRateLimiter ended_line_limiter_{kMaxEndedLinesPerSecond};
 };
 
 } // namespace marblewood::net
--- a/src/net/eviction_order.cpp
+++ b/src/net/eviction_order.cpp
@@ -4,120 +4,122 @@
 
 namespace marblewood::net {
 
-EvictionOrder::Entry::Entry(EvictionOrder &order, Micros accepted) : order_(order), sequence_(++order.last_) {
-    use_.accepted = use_.used = accepted;
-    order_.newcomers_.insert(age(*this));
-    order_.file(*this);
+EvictionOrder::Entry::Entry(EvictionOrder &order, Micros accepted)
+    : order_(order), sequence_(++order.last_sequence_) {
+    use_.accepted = use_.last_used = accepted;
+    order_.newcomers_.insert(accept_key(*this));
+    order_.reposition(*this);
 }
 
 EvictionOrder::Entry::~Entry() {
-    order_.withdraw(*this);
+    order_.dequeue(*this);
     if (newcomer_)
-        order_.newcomers_.erase(age(*this));
-    if (counted_asker_)
-        --order_.askers_;
+        order_.newcomers_.erase(accept_key(*this));
+    if (counted_requester_)
+        --order_.requesters_;
 }
 
 void EvictionOrder::Entry::received(Micros now) {
-    update([now](ConnectionUse &use) { use.used = now; });
+    update([now](ConnectionUse &use) { use.last_used = now; });
 }
 void EvictionOrder::Entry::set_partial(bool partial) {
     update([partial](ConnectionUse &use) { use.partial = partial; });
 }
-void EvictionOrder::Entry::mark_asked() {
-    update([](ConnectionUse &use) { use.asked = true; });
+void EvictionOrder::Entry::mark_requested() {
+    update([](ConnectionUse &use) { use.has_requested = true; });
 }
-void EvictionOrder::Entry::mark_lasting() {
-    update([](ConnectionUse &use) { use.lasting = true; });
+void EvictionOrder::Entry::mark_persistent() {
+    update([](ConnectionUse &use) { use.persistent = true; });
 }
 void EvictionOrder::Entry::mark_closing() {
     update([](ConnectionUse &use) { use.closing = true; });
 }
-void EvictionOrder::Entry::mark_ending() {
-    update([](ConnectionUse &use) { use.ending = true; });
+void EvictionOrder::Entry::mark_lingering() {
+    update([](ConnectionUse &use) { use.lingering = true; });
 }
-void EvictionOrder::Entry::owe_answer() {
-    update([](ConnectionUse &use) { ++use.owed; });
+void EvictionOrder::Entry::add_open_request() {
+    update([](ConnectionUse &use) { ++use.open_requests; });
 }
-void EvictionOrder::Entry::settle_answers(std::size_t count) {
-    update([count](ConnectionUse &use) { use.owed -= count; });
+void EvictionOrder::Entry::complete_requests(std::size_t count) {
+    update([count](ConnectionUse &use) { use.open_requests -= count; });
 }
 
 std::optional<std::size_t> EvictionOrder::queue_of(const Entry &entry) {
     const ConnectionUse &use = entry.use_;
-    if (use.ending)
-        return kEnding;
-    const bool begun = use.asked || use.partial;
-    // One that is closing and has begun ends by itself. One that has not holds room that others may need.
-    if (use.owed > 0 || (use.closing && begun) || (use.partial && use.asked))
+    if (use.lingering)
+        return kLingering;
+    const bool has_begun = use.has_requested || use.partial;
+    // A closing connection that has received anything ends by itself. One that has not only takes room that
+    // others may need.
+    if (use.open_requests > 0 || (use.closing && has_begun) || (use.partial && use.has_requested))
         return std::nullopt;
-    if (entry.newcomer_ && !use.asked)
+    if (entry.newcomer_ && !use.has_requested)
         return kNewcomer;
     if (use.partial)
         return kPartial;
-    return use.asked ? kAsked : kSilent;
+    return use.has_requested ? kRequested : kSilent;
 }
 
-void EvictionOrder::withdraw(Entry &entry) {
+void EvictionOrder::dequeue(Entry &entry) {
     if (entry.queue_)
         queues_[*entry.queue_].erase(key(entry));
-    if (entry.filed_idle_)
-        idle_askers_.erase(key(entry));
+    if (entry.queued_idle_)
+        idle_requesters_.erase(key(entry));
     entry.queue_.reset();
-    entry.filed_idle_ = false;
+    entry.queued_idle_ = false;
 }
 
-void EvictionOrder::file(Entry &entry) {
+void EvictionOrder::reposition(Entry &entry) {
     const ConnectionUse &use = entry.use_;
     const auto queue = queue_of(entry);
-    const bool asker = use.asked && !use.lasting && !use.closing;
-    const bool idle_asker = asker && use.idle();
-    if (asker != entry.counted_asker_)
-        asker ? ++askers_ : --askers_;
-    entry.counted_asker_ = asker;
-    const bool unchanged = queue == entry.queue_ && idle_asker == entry.filed_idle_;
-    const bool unfiled = !queue && !idle_asker;
-    if (unchanged && (unfiled || use.used == entry.filed_used_))
+    const bool requester = use.has_requested && !use.persistent && !use.closing;
+    const bool idle_requester = requester && use.idle();
+    if (requester != entry.counted_requester_)
+        requester ? ++requesters_ : --requesters_;
+    entry.counted_requester_ = requester;
+    const bool unchanged = queue == entry.queue_ && idle_requester == entry.queued_idle_;
+    const bool in_no_queue = !queue && !idle_requester;
+    if (unchanged && (in_no_queue || use.last_used == entry.queued_last_used_))
         return;
-    withdraw(entry);
-    entry.filed_used_ = use.used;
+    dequeue(entry);
+    entry.queued_last_used_ = use.last_used;
     entry.queue_ = queue;
-    entry.filed_idle_ = idle_asker;
+    entry.queued_idle_ = idle_requester;
     if (queue)
         queues_[*queue].insert(key(entry));
-    if (idle_asker)
-        idle_askers_.insert(key(entry));
+    if (idle_requester)
+        idle_requesters_.insert(key(entry));
 }
 
-void EvictionOrder::graduate(Micros now) {
-    while (!newcomers_.empty() && now - newcomers_.begin()->used >= kNewcomerGrace) {
+void EvictionOrder::expire_newcomers(Micros now) {
+    while (!newcomers_.empty() && now - newcomers_.begin()->last_used >= kNewcomerGrace) {
         Entry &entry = *newcomers_.begin()->entry;
         newcomers_.erase(newcomers_.begin());
         entry.newcomer_ = false;
-        file(entry);
+        reposition(entry);
     }
 }
 
 EvictionOrder::Entry *EvictionOrder::next(Micros now, const std::function<bool(Entry &)> &has_unread) {
-    graduate(now);
+    expire_newcomers(now);
     std::vector<Entry *> in_use;
     Entry *found = nullptr;
     for (std::size_t queue = 0; queue < kQueues && !found; ++queue)
         for (const Key &candidate : queues_[queue]) {
             ++examined_;
-            if (queue == kEnding || !has_unread(*candidate.entry)) {
+            if (queue == kLingering || !has_unread(*candidate.entry)) {
                 found = candidate.entry;
                 break;
             }
             in_use.push_back(candidate.entry);
         }
     for (Entry *entry : in_use)
-        entry->received(now); // not looked at again before the others
+        entry->received(now); // moves it behind the others of its queue
     return found;
 }
 
-EvictionOrder::Entry *EvictionOrder::longest_idle_asker() const {
-    return idle_askers_.empty() ? nullptr : idle_askers_.begin()->entry;
+EvictionOrder::Entry *EvictionOrder::longest_idle_requester() const {
+    return idle_requesters_.empty() ? nullptr : idle_requesters_.begin()->entry;
 }
 
 } // namespace marblewood::net
--- a/src/net/eviction_order.hpp
+++ b/src/net/eviction_order.hpp
@@ -1,9 +1,10 @@
-// The order in which clients' connections are closed to make room for new ones, kept up to date as the
-// connections are used, so that a new connection costs the same however many there are. Free of I/O and
-// clock.
-//
-// Bounds. An update costs O(log n) for n connections. Finding the next connection to close looks at one
-// connection, and at one more for each that has received bytes since it was last filed.
+/// \file
+/// The order in which client connections are closed to make room for new ones. It is updated as connections
+/// are used, so that the cost of finding one to close does not depend on their number. Does no I/O and reads
+/// no clock.
+///
+/// Complexity: an update costs O(log n) for n connections. Finding the next connection to close examines one
+/// connection, plus one for each that has received bytes since its position was last updated.
 #pragma once
 
 #include "marblewood/scheduler.hpp"
@@ -16,26 +17,26 @@
 
 namespace marblewood::net {
 
-/// How a connection is used, as far as it decides whether it may be closed. Times are Unix time in us.
+/// The state of a connection that decides whether it may be closed. Times are Unix time in microseconds.
 struct ConnectionUse {
     Micros accepted = 0;
-    Micros used = 0;      ///< when something last came or went on it
-    bool asked = false;   ///< it has sent a request, or made itself known
-    bool lasting = false; ///< its protocol keeps it open for good, idle or not
-    bool partial = false; ///< part of a request has come
-    bool closing = false; ///< takes no more requests
-    bool ending = false;  ///< has all its answers and was told of the end, which it has still to see
-    std::size_t owed = 0; ///< requests taken on it and not yet answered whole
-
-    bool idle() const { return owed == 0 && !partial; }
+    Micros last_used = 0;       ///< when bytes were last received or written
+    bool has_requested = false; ///< has sent a request, or has connected to an NVMe controller
+    bool persistent = false;    ///< the protocol keeps the connection open while idle
+    bool partial = false;       ///< part of a request has been received
+    bool closing = false;       ///< is being closed; see net::Closing
+    bool lingering = false;     ///< all answers sent, sending side shut down; waits for the client to close
+    std::size_t open_requests = 0; ///< requests received whose answers are not completely written
+
+    bool idle() const { return open_requests == 0 && !partial; }
 };
 
 class EvictionOrder {
 public:
-    /// For how long the first request of a new connection is awaited, in us: it may be on its way or unread.
+    /// For how long a new connection is protected, as its first request may be in transit or unread.
     static constexpr Micros kNewcomerGrace = 250'000;
 
-    /// One connection's place in the order, which it holds for as long as it lives.
+    /// One connection's position in the order, held for the lifetime of the object.
     class Entry {
     public:
         Entry(EvictionOrder &order, Micros accepted);
@@ -46,67 +47,69 @@
         const ConnectionUse &use() const { return use_; }
         void received(Micros now);
         void set_partial(bool partial);
-        void mark_asked();
-        void mark_lasting();
+        void mark_requested();
+        void mark_persistent();
         void mark_closing();
-        void mark_ending();
-        void owe_answer();
-        void settle_answers(std::size_t count);
+        void mark_lingering();
+        void add_open_request();
+        void complete_requests(std::size_t count);
 
     private:
         friend class EvictionOrder;
         template <typename Change> void update(Change change) {
             change(use_);
-            order_.file(*this);
+            order_.reposition(*this);
         }
 
         EvictionOrder &order_;
         ConnectionUse use_;
         const std::uint64_t sequence_;
-        bool newcomer_ = true;             // within kNewcomerGrace, as far as the order has noticed
-        std::optional<std::size_t> queue_; // where it is filed, by `filed_used_`
-        bool filed_idle_ = false, counted_asker_ = false;
-        Micros filed_used_ = 0;
+        bool newcomer_ = true; // accepted less than kNewcomerGrace ago, as of the last expire_newcomers()
+        std::optional<std::size_t> queue_; // the queue that holds it, ordered by `queued_last_used_`
+        bool queued_idle_ = false, counted_requester_ = false;
+        Micros queued_last_used_ = 0;
     };
 
-    /// The connection to close first at time `now`; nothing where all are in use. A connection on which
-    /// `has_unread` finds bytes is in use.
+    /// The connection to close first at time `now`, or nullptr if all are in use. A connection for which
+    /// `has_unread` returns true is in use.
     Entry *next(Micros now, const std::function<bool(Entry &)> &has_unread);
 
-    /// Connections that have asked and are not closing, without those that last.
-    std::size_t askers() const { return askers_; }
-    /// Of those, the idle one that was unused for the longest.
-    Entry *longest_idle_asker() const;
+    /// Number of connections that have sent a request and are neither closing nor persistent.
+    std::size_t requesters() const { return requesters_; }
+    /// The least recently used idle one of these, or nullptr.
+    Entry *longest_idle_requester() const;
 
-    /// Connections that next() has looked at since the start: what it costs.
+    /// Number of connections examined by all calls of next(), as a measure of its cost.
     std::uint64_t examined() const { return examined_; }
 
 private:
-    // Closed in this order. One that holds a connection and says nothing goes before one that comes back to
-    // it, and a newcomer last, however much it looks like one that says nothing.
-    enum Queue : std::size_t { kSilent, kEnding, kAsked, kPartial, kNewcomer, kQueues };
+    // Connections are closed in the order of these queues. Those that never sent a request come before those
+    // whose clients use them again; newcomers come last, although they have not sent a request either.
+    enum Queue : std::size_t { kSilent, kLingering, kRequested, kPartial, kNewcomer, kQueues };
     struct Key {
-        Micros used = 0;
+        Micros last_used = 0;
         std::uint64_t sequence = 0;
         Entry *entry = nullptr;
         auto operator<=>(const Key &other) const {
-            return std::pair(used, sequence) <=> std::pair(other.used, other.sequence);
+            return std::pair(last_used, sequence) <=> std::pair(other.last_used, other.sequence);
         }
     };
-    using Line = std::set<Key>;
+    using KeySet = std::set<Key>;
 
     static std::optional<std::size_t> queue_of(const Entry &entry);
-    static Key key(Entry &entry) { return {entry.filed_used_, entry.sequence_, &entry}; }
-    static Key age(Entry &entry) { return {entry.use_.accepted, entry.sequence_, &entry}; }
-    void file(Entry &entry);
-    void withdraw(Entry &entry);
-    void graduate(Micros now);
-
-    std::array<Line, kQueues> queues_;
-    Line newcomers_; // all entries whose newcomer_ is set, by when they were accepted
-    Line idle_askers_;
-    std::size_t askers_ = 0;
-    std::uint64_t last_ = 0, examined_ = 0;
+    static Key key(Entry &entry) { return {entry.queued_last_used_, entry.sequence_, &entry}; }
+    // Its `last_used` is the accept time.
+    static Key accept_key(Entry &entry) { return {entry.use_.accepted, entry.sequence_, &entry}; }
+    // Puts an entry into the queues that its use calls for.
+    void reposition(Entry &entry);
+    void dequeue(Entry &entry);
+    void expire_newcomers(Micros now);
+
+    std::array<KeySet, kQueues> queues_;
+    KeySet newcomers_; // all entries whose newcomer_ is set, by accept time
+    KeySet idle_requesters_;
+    std::size_t requesters_ = 0;
+    std::uint64_t last_sequence_ = 0, examined_ = 0;
 };
 
 } // namespace marblewood::net
--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -9,26 +9,27 @@
 namespace {
 
 constexpr std::uint16_t kQueueEntries = 128;
-constexpr std::uint64_t kCap = (kQueueEntries - 1) | 1ull << 16 /* contiguous queues */ |
-                               20ull << 24 /* ready within 10 s */ | 1ull << 37 /* the NVM command set */;
+constexpr std::uint64_t kCap = (kQueueEntries - 1) | 1ull << 16 /* contiguous queues required */ |
+                               20ull << 24 /* timeout 10 s until ready */ | 1ull << 37 /* NVM command set */;
 constexpr std::uint32_t kVersion = 0x00010400;
-constexpr Micros kRetryDelayUnit = 100'000; // us: the specification's unit of kRetryDelays
+constexpr Micros kRetryDelayUnit = 100'000; // unit of kRetryDelays in the specification
 constexpr Micros kKeepAliveSlack = 1'000'000;
-constexpr std::size_t kMostHead = 24; // bytes told of a PDU that never came whole
-constexpr std::size_t kConnectData = 1024, kIdentifyData = 4096;
+constexpr std::size_t kMaxReportedHeadBytes = 24; // of an incomplete PDU, in the termination request
+constexpr std::size_t kConnectDataBytes = 1024, kIdentifyDataBytes = 4096;
 
-std::string_view text(std::string_view field) {
+std::string_view until_nul(std::string_view field) {
     return field.substr(0, field.find('\0'));
 }
 
 } // namespace
 
-Status16 spell(const core::Outcome &outcome) {
+Status16 to_status(const core::Outcome &outcome) {
     if (outcome.kind == core::Outcome::Kind::Served)
         return {};
     if (outcome.kind == core::Outcome::Kind::Failed)
         return {status::kInternal, 0, !outcome.retry_safe};
-    // Refused: nothing has run. The shortest delay that is no shorter than the advice; none without advice.
+    // Refused: nothing has run. Chooses the shortest delay that is at least `retry_after`, the longest delay
+    // if all are shorter, and none without `retry_after`.
     Status16 refused{status::kNotReady, 0, false};
     if (outcome.retry_after > 0) {
         refused.retry_delay = 3;
@@ -39,6 +40,7 @@
     return refused;
 }
 
+/// The session of one queue, admin or I/O, of an NVMe host.
 class FrontSession : public Session {
 public:
     FrontSession(Client &client, core::FrontEndServices services, const Mapping &mapping,
@@ -47,92 +49,94 @@
           mapping_(mapping), controllers_(controllers) {}
     ~FrontSession() override { leave(); }
 
-    // Ends a command of this queue; false: there is none, or it has its answer.
+    // Aborts a command of this queue; false if there is no such open command.
     bool abort(std::uint16_t cid) {
         const auto it = commands_.find(cid);
         if (it == commands_.end())
             return false;
         bool may_have_run = false;
         if (it->second.request_handler) {
-            it->second.request_handler->client_disconnected(
-                it->second.id); // its outcome is of no use any more
+            // Its outcome is not needed any more.
+            it->second.request_handler->client_disconnected(it->second.id);
             may_have_run = it->second.write;
         }
         complete(cid, {status::kAborted, 0, may_have_run});
         return true;
     }
-    void close() { client_.close(CloseReason::ClientDisconnected); } // its controller has ended
-    void other_queue_left() {
+    void close() { client_.close(CloseReason::ClientDisconnected); } // the controller has ended
+    void on_io_queue_left() {
         if (client_.notify)
             client_.notify();
     }
 
 private:
-    const char *front() const override { return "nvme"; }
-    struct Working { // a command that owes its completion
+    const char *front_name() const override { return "nvme"; }
+    struct OpenCommand {
         bool write = false;
-        Micros sent = 0;
-        core::RequestHandler *request_handler = nullptr; // once it is a request
+        Micros received_at = 0;
+        core::RequestHandler *request_handler = nullptr; // set once the command is submitted as a request
         RequestId id{};
-        std::optional<std::uint16_t> tag; // while its data is awaited
+        std::optional<std::uint16_t> tag; // the transfer that it waits for
         std::uint64_t serial = 0;
     };
-    struct Transfer { // data asked for by R2T; outlives its command until all of it has come
+    struct Transfer { // data requested by R2T; may outlive its command until all data has arrived
         std::uint16_t cid = 0;
         std::uint32_t length = 0;
         std::string data;
-        std::uint32_t got = 0;
-        bool wanted = true; // else discarded as it comes
+        std::uint32_t received = 0;
+        bool needed = true; // if not, data is discarded as it arrives
         Command command;
-        core::Deadlines::Entry end;
+        core::Deadlines::Entry timeout;
     };
 
     // ---- PDUs ----
 
-    void take_all() override {
+    void parse_received() override {
         try {
-            while (auto pdu = take(in_)) {
+            while (auto pdu = take(input_)) {
                 if (!started_)
-                    start(*pdu);
+                    handle_initialize(*pdu);
                 else if (pdu->type == Type::Command)
-                    command(*pdu);
+                    handle_command(*pdu);
                 else if (pdu->type == Type::H2CData)
-                    data_came(*pdu);
+                    handle_data(*pdu);
                 else if (pdu->type == Type::H2CTermReq)
-                    return end_now("the host ended the connection");
+                    return end_connection("the host ended the connection");
                 else
                     throw Malformed(Fatal::Sequence, "unexpected PDU", pdu->head);
-                since_ = deadlines_.clock.now();
+                message_started_at_ = deadlines_.clock.now();
                 if (keep_alive_ > 0)
-                    expect_life();
+                    restart_keep_alive_timer();
             }
-        } catch (const Malformed &error) { // what the host meant is not guessed: it is told, and let go
+        } catch (const Malformed &error) { // reports the error to the host and ends the connection
             core::log("nvme client {}: {}", client_.id, error.what());
-            client_.note(CloseReason::ProtocolError);
+            client_.note_close_reason(CloseReason::ProtocolError);
             send(term_req(Type::C2HTermReq, error), 0);
-            end_now("malformed");
+            end_connection("malformed");
         }
     }
-    std::size_t held() const override {
-        std::size_t bytes = in_.size();
+    std::size_t buffered_bytes() const override {
+        std::size_t bytes = input_.size();
         for (const auto &[tag, transfer] : transfers_)
             bytes += transfer.data.size();
         return bytes;
     }
-    Micros may_idle() const override { return 0; } // a host with a controller has its keep-alives
-    void spoilt(const char *why) override {
+    Micros idle_timeout() const override { return 0; } // the keep-alive timeout applies instead
+    void reject_input(const char *why) override {
         core::log("nvme client {}: {}", client_.id, why);
-        send(term_req(Type::C2HTermReq, Malformed(Fatal::HeaderField, why, in_.substr(0, kMostHead))), 0);
-        end_now(why);
+        send(term_req(Type::C2HTermReq,
+                      Malformed(Fatal::HeaderField, why, input_.substr(0, kMaxReportedHeadBytes))),
+             0);
+        end_connection(why);
     }
-    void end_now(const char *) {
-        std::string().swap(in_);
-        over_ = true;
-        client_.settle_answers(commands_.size()); // these get no answer; what is queued already is still sent
-        left();
+    void end_connection(const char *) {
+        std::string().swap(input_);
+        reading_finished_ = true;
+        client_.complete_requests(commands_.size()); // they get no answer; queued bytes are still sent
+        on_disconnect();
     }
 
-    void start(const Pdu &pdu) {
+    void handle_initialize(const Pdu &pdu) {
         if (pdu.type != Type::ICReq)
             throw Malformed(Fatal::Sequence, "no ICReq first", pdu.head);
         if (get<std::uint16_t>(pdu.head, 8) != 0)
@@ -143,15 +147,15 @@
         send(ic_resp(kMostData), 0);
     }
 
-    void command(const Pdu &pdu) {
+    void handle_command(const Pdu &pdu) {
         Command c{pdu.head.substr(8, 64)};
-        if (commands_.count(
-                c.cid())) { // two answers under one identifier: the host could not tell them apart
-            client_.owe_answer();
-            return complete_bytes(c.cid(), {status::kIdConflict, 0, true});
+        if (commands_.count(c.cid())) { // the host could not tell two answers with one identifier apart
+            client_.add_open_request();
+            return send_completion(c.cid(), {status::kIdConflict, 0, true});
         }
-        client_.owe_answer();
-        commands_[c.cid()] = {c.opcode() == op::kWrite, deadlines_.clock.now(), nullptr, {}, {}, ++serial_};
+        client_.add_open_request();
+        commands_[c.cid()] = {
+            c.opcode() == op::kWrite, deadlines_.clock.now(), nullptr, {}, {}, ++last_serial_};
         const bool has_data =
             c.opcode() == op::kWrite || (c.opcode() == op::kFabrics && c.fabrics_type() == op::kConnect);
         if (!has_data)
@@ -168,47 +172,48 @@
             return complete(c.cid(), refused);
         if (client_.refuses(deadlines_.clock.now()))
             return complete(c.cid(), {status::kNotReady, 0, false});
-        ask_for_data(c, length);
+        request_data(c, length);
     }
 
-    void ask_for_data(const Command &c, std::uint32_t length) {
+    void request_data(const Command &c, std::uint32_t length) {
         if (transfers_.size() >= 0xffff)
             return complete(c.cid(), {status::kNotReady, 1, false});
         do
-            ++last_tag_; // no tag again while late data may still bear it
+            ++last_tag_; // skips tags of transfers whose data may still arrive
         while (transfers_.count(last_tag_));
         Transfer &t = transfers_[last_tag_];
         t.cid = c.cid();
         t.length = length;
         t.command = c;
         commands_[c.cid()].tag = last_tag_;
-        const Micros until = commands_[c.cid()].sent + mapping_.namespaces.at(c.nsid()).write_wait;
-        t.end = deadlines_.at(until, [this, cid = c.cid()] {
-            complete(cid, {status::kTransferError, 0, false}); // its data never came: nothing has run
+        const Micros deadline = commands_[c.cid()].received_at + mapping_.namespaces.at(c.nsid()).write_wait;
+        t.timeout = deadlines_.at(deadline, [this, cid = c.cid()] {
+            complete(cid, {status::kTransferError, 0, false}); // no data in time: nothing has run
         });
         send(r2t(c.cid(), last_tag_, 0, length), 0);
     }
 
-    void data_came(const Pdu &pdu) {
+    void handle_data(const Pdu &pdu) {
         const auto cid = get<std::uint16_t>(pdu.head, 8), tag = get<std::uint16_t>(pdu.head, 10);
         const auto offset = get<std::uint32_t>(pdu.head, 12), length = get<std::uint32_t>(pdu.head, 16);
         const auto it = transfers_.find(tag);
         if (it == transfers_.end() || it->second.cid != cid)
             throw Malformed(Fatal::HeaderField, "data that was not asked for", pdu.head);
         Transfer &t = it->second;
-        if (offset != t.got || length != pdu.data.size() || length == 0 || length > t.length - t.got)
+        if (offset != t.received || length != pdu.data.size() || length == 0 ||
+            length > t.length - t.received)
             throw Malformed(Fatal::OutOfRange, "data out of range", pdu.head);
-        t.got += length;
-        if (t.wanted)
+        t.received += length;
+        if (t.needed)
             t.data += pdu.data;
-        if (t.got < t.length)
+        if (t.received < t.length)
             return;
-        const Transfer whole = std::move(t);
+        const Transfer complete_transfer = std::move(t);
         transfers_.erase(it);
-        if (!whole.wanted)
+        if (!complete_transfer.needed)
             return;
         commands_[cid].tag.reset();
-        execute(whole.command, whole.data);
+        execute(complete_transfer.command, complete_transfer.data);
     }
 
     // ---- Commands ----
@@ -223,7 +228,7 @@
                 return complete(c.cid(), {status::kInvalidOpcode, 0, true});
             if (const Status16 refused = check(c); !refused.ok())
                 return complete(c.cid(), refused);
-            return ask(c, data);
+            return submit_request(c, data);
         }
         if (c.opcode() == op::kIdentify)
             return identify(c);
@@ -246,19 +251,19 @@
         if (c.dword<std::uint64_t>(10) >= ns->second.blocks)
             return {status::kLbaRange, 0, true};
         if (c.dword<std::uint16_t>(12) != 0 || c.sgl_length() != mapping_.block_bytes)
-            return {status::kInvalidField, 0, true}; // one block a command, as Identify says
+            return {status::kInvalidField, 0, true}; // one block per command, as Identify announces
         return {};
     }
 
-    void ask(const Command &c, const std::string &data) {
+    void submit_request(const Command &c, const std::string &data) {
         const Namespace &ns = mapping_.namespaces.at(c.nsid());
         const std::uint64_t piece = ns.first_piece + c.dword<std::uint64_t>(10);
-        Working &working = commands_[c.cid()];
+        OpenCommand &open_command = commands_[c.cid()];
         auto r = std::make_shared<core::Request>();
         r->data_key = fmt::format("{:016x}", piece);
         r->id = fmt::format("{:016x}", services_.random_number());
         r->connection_id = client_.id;
-        r->received_at = working.sent;
+        r->received_at = open_command.received_at;
         r->body = data;
         RequestArrived &f = r->arrival;
         f.write = c.opcode() == op::kWrite;
@@ -270,15 +275,15 @@
         f.units = ns.units;
         f.hosts = ns.hosts;
         r->timeout = f.write ? ns.write_wait : ns.read_wait;
-        // The broker's own repeats bear one key; a host's repeat is a new command with a key of its own.
+        // The broker's own retries share one key; a host's retry is a new command with a key of its own.
         if (services_.settings.classes[f.cls].idempotency == Idempotency::WithKey)
             r->idempotency_key = fmt::format("{:016x}", services_.random_number());
         if (client_.use().closing)
-            ++client_.asked_since;
+            ++client_.requests_while_closing;
         r->refuse_immediately = client_.refuses(deadlines_.clock.now());
         core::RequestHandler &request_handler = services_.request_handler(*r);
-        working.request_handler = &request_handler;
-        const std::uint64_t serial = working.serial;
+        open_command.request_handler = &request_handler;
+        const std::uint64_t serial = open_command.serial;
         const std::weak_ptr<Session> weak = weak_from_this();
         const RequestId id =
             request_handler.submit(r, [this, weak, cid = c.cid(), serial](const core::Outcome &outcome) {
@@ -292,17 +297,16 @@
     }
 
     void answer(std::uint16_t cid, std::uint64_t serial, const core::Outcome &outcome) {
-        if (!working(cid, serial))
+        if (!is_open(cid, serial))
             return outcome.stream ? outcome.stream->abandon() : void();
-        if (outcome.stream) { // only a value longer than any block is one: no part is passed on
+        if (outcome.stream) { // longer than any block, so no part of it is sent
             outcome.stream->abandon();
             return complete(cid, {status::kTransferError, 0, true});
         }
-        Status16 status = spell(outcome);
+        Status16 status = to_status(outcome);
         if (status.ok() && !commands_[cid].write) {
             if (outcome.value.size() > mapping_.block_bytes) {
-                status = {status::kTransferError, 0,
-                          true}; // longer than the host's block: no part is passed on
+                status = {status::kTransferError, 0, true}; // longer than the block, so no part of it is sent
             } else {
                 std::string block = outcome.value;
                 block.resize(mapping_.block_bytes, '\0');
@@ -312,9 +316,9 @@
         complete(cid, status);
     }
 
-    bool working(std::uint16_t cid, std::uint64_t serial) const { // else the host has left, or aborted it
+    bool is_open(std::uint16_t cid, std::uint64_t serial) const { // false if disconnected or aborted
         const auto it = commands_.find(cid);
-        return !gone() && it != commands_.end() && it->second.serial == serial;
+        return !is_disconnected() && it != commands_.end() && it->second.serial == serial;
     }
 
     void fabrics(const Command &c, const std::string &data) {
@@ -343,9 +347,9 @@
         const Status16 wrong{status::kConnectInvalid, 0, true};
         if (controller_)
             return complete(c.cid(), {status::kSequence, 0, true});
-        if (data.size() != kConnectData || c.dword<std::uint16_t>(10) != 0)
+        if (data.size() != kConnectDataBytes || c.dword<std::uint16_t>(10) != 0)
             return complete(c.cid(), wrong);
-        if (text(std::string_view(data).substr(256, 256)) != mapping_.subsystem)
+        if (until_nul(std::string_view(data).substr(256, 256)) != mapping_.subsystem)
             return complete(c.cid(), wrong);
         queue_ = static_cast<std::uint16_t>(c.dword<std::uint32_t>(10) >> 16);
         if (queue_ == 0) {
@@ -357,54 +361,55 @@
         }
         if (!controller_)
             return complete(c.cid(), wrong);
-        client_.mark_asked();
-        client_.mark_lasting();
+        client_.mark_requested();
+        client_.mark_persistent();
         complete(c.cid(), {}, controller_);
     }
 
     void identify(const Command &c) {
-        std::string page(kIdentifyData, '\0');
-        const auto which = c.dword<std::uint8_t>(10);
-        const auto put = [&](std::size_t at, std::size_t width, std::string_view words) {
-            std::string padded(words.substr(0, width));
+        std::string page(kIdentifyDataBytes, '\0');
+        const auto structure = c.dword<std::uint8_t>(10);
+        const auto put = [&](std::size_t at, std::size_t width, std::string_view value) {
+            std::string padded(value.substr(0, width));
             padded.resize(width, ' ');
             page.replace(at, width, padded);
         };
-        if (which == 0x01) { // the controller
+        if (structure == 0x01) { // Identify Controller
             put(4, 20, "1");
             put(24, 40, "marblewood");
             put(64, 8, "0.1");
             const auto pages = static_cast<std::uint8_t>(std::countr_zero(mapping_.block_bytes / 4096));
-            // MDTS: one block. It counts from 1 page up, so that a block of one page is told as none: 0 would
-            // mean no limit, and check() refuses what is longer.
+            // MDTS is one block, as a power of two of the page size. For a block of one page that is 0, which
+            // means no limit to the host; check() refuses longer commands.
             set<std::uint8_t>(page, 77, pages);
             set<std::uint16_t>(page, 78, controller_);
             set<std::uint32_t>(page, 80, kVersion);
             for (std::size_t n = 0; n < kRetryDelays.size(); ++n)
                 set(page, 128 + 2 * n, kRetryDelays[n]);
-            set<std::uint8_t>(page, 258, 3);    // aborts at once, counted from 0
-            set<std::uint16_t>(page, 320, 10);  // keep-alive granularity, 100 ms units
-            set<std::uint8_t>(page, 512, 0x66); // sizes of queue entries
+            set<std::uint8_t>(page, 258, 3);    // abort command limit, 0-based
+            set<std::uint16_t>(page, 320, 10);  // keep-alive granularity in units of 100 ms
+            set<std::uint8_t>(page, 512, 0x66); // submission queue entry size
             set<std::uint8_t>(page, 513, 0x44);
             set<std::uint16_t>(page, 514, kQueueEntries);
             set<std::uint32_t>(page, 516,
                                mapping_.namespaces.empty() ? 0 : mapping_.namespaces.rbegin()->first);
             set<std::uint32_t>(page, 536,
-                               0x00100001); // scatter-gather lists, with offsets for in-capsule data
+                               0x00100001); // SGLs, with offsets for in-capsule data
             page.replace(768, mapping_.subsystem.size(), mapping_.subsystem);
-            set<std::uint32_t>(page, 1792, 4); // capsule of an I/O command: 64 bytes, no data in it
+            set<std::uint32_t>(page, 1792,
+                               4); // I/O command capsule: 4 x 16 bytes, no data
             set<std::uint32_t>(page, 1796, 1);
-        } else if (which == 0x00) {
+        } else if (structure == 0x00) {
             const auto ns = mapping_.namespaces.find(c.nsid());
             if (ns == mapping_.namespaces.end())
                 return complete(c.cid(), {status::kInvalidNamespace, 0, true});
             for (const std::size_t at : {0, 8, 16})
                 set(page, at, ns->second.blocks);
             set<std::uint8_t>(page, 130, static_cast<std::uint8_t>(std::countr_zero(mapping_.block_bytes)));
-        } else if (which == 0x02) {
+        } else if (structure == 0x02) {
             std::size_t at = 0;
             for (const auto &[nsid, ns] : mapping_.namespaces)
-                if (nsid > c.nsid() && at < kIdentifyData)
+                if (nsid > c.nsid() && at < kIdentifyDataBytes)
                     set(page, at, nsid), at += 4;
         } else {
             return complete(c.cid(), {status::kInvalidField, 0, true});
@@ -413,50 +418,50 @@
         complete(c.cid(), {});
     }
 
-    // ---- Answers ----
+    // ---- Completions ----
 
-    // The one completion of a command.
+    // Completes an open command; does nothing if it is completed already.
     void complete(std::uint16_t cid, Status16 status, std::uint64_t result = 0) {
         const auto it = commands_.find(cid);
         if (it == commands_.end())
             return;
-        if (it->second.tag) { // its data may be half here: the rest is discarded as it comes
+        if (it->second.tag) { // some of its data may have arrived; the rest is discarded
             Transfer &t = transfers_.at(*it->second.tag);
-            t.wanted = false;
+            t.needed = false;
             t.data.clear();
-            t.end.reset();
+            t.timeout.reset();
         }
         commands_.erase(it);
-        complete_bytes(cid, status, result);
+        send_completion(cid, status, result);
     }
-    void complete_bytes(std::uint16_t cid, Status16 status, std::uint64_t result = 0) {
+    void send_completion(std::uint16_t cid, Status16 status, std::uint64_t result = 0) {
         Completion done;
         done.cid = cid;
         done.queue = queue_;
         done.result = result;
         done.status = status;
-        done.sq_head = static_cast<std::uint16_t>(++answered_ % kQueueEntries);
+        done.sq_head = static_cast<std::uint16_t>(++completed_ % kQueueEntries);
         send(done.capsule(), 1);
     }
 
-    void left() override {
-        for (const auto &[cid, working] : commands_)
-            if (working.request_handler)
-                working.request_handler->client_disconnected(working.id);
+    void on_disconnect() override {
+        for (const auto &[cid, open_command] : commands_)
+            if (open_command.request_handler)
+                open_command.request_handler->client_disconnected(open_command.id);
         commands_.clear();
         transfers_.clear();
         keep_alive_ = 0;
-        life_.reset();
+        keep_alive_timer_.reset();
         leave();
     }
-    // A controller ends with its admin queue, and its other queues may have open commands.
+    // Ending the admin queue ends the controller, whose I/O queues may have open commands.
     bool may_end() const override { return queue_ != 0 || !controllers_.has_io_queues(controller_); }
     void answer_now() override {
         std::vector<std::pair<core::RequestHandler *, RequestId>> open;
         std::vector<std::uint16_t> without_data;
-        for (const auto &[cid, working] : commands_)
-            if (working.request_handler)
-                open.emplace_back(working.request_handler, working.id);
+        for (const auto &[cid, open_command] : commands_)
+            if (open_command.request_handler)
+                open.emplace_back(open_command.request_handler, open_command.id);
             else
                 without_data.push_back(cid);
         for (const auto &[request_handler, id] : open)
@@ -468,8 +473,8 @@
         if (controller_)
             controllers_.leave(std::exchange(controller_, 0), queue_, *this);
     }
-    void expect_life() {
-        life_ = deadlines_.in(keep_alive_, [this] {
+    void restart_keep_alive_timer() {
+        keep_alive_timer_ = deadlines_.in(keep_alive_, [this] {
             core::log("nvme client {}: no keep-alive in time", client_.id);
             client_.close(CloseReason::KeepAlive);
         });
@@ -478,22 +483,22 @@
     core::FrontEndServices services_;
     const Mapping &mapping_;
     Controllers &controllers_;
-    std::map<std::uint16_t, Working> commands_;
+    std::map<std::uint16_t, OpenCommand> commands_;
     std::map<std::uint16_t, Transfer> transfers_;
     std::uint16_t controller_ = 0, queue_ = 0, last_tag_ = 0;
     std::uint32_t config_ = 0;
-    std::uint64_t serial_ = 0, answered_ = 0;
+    std::uint64_t last_serial_ = 0, completed_ = 0;
     bool started_ = false;
     Micros keep_alive_ = 0;
-    core::Deadlines::Entry life_;
+    core::Deadlines::Entry keep_alive_timer_;
 };
 
 std::uint16_t Controllers::make(FrontSession &admin) {
     do
-        ++last_;
-    while (last_ == 0 || last_ >= 0xfff0 || queues_.count(last_));
-    queues_[last_][0] = &admin;
-    return last_;
+        ++last_controller_;
+    while (last_controller_ == 0 || last_controller_ >= 0xfff0 || queues_.count(last_controller_));
+    queues_[last_controller_][0] = &admin;
+    return last_controller_;
 }
 bool Controllers::join(std::uint16_t controller, std::uint16_t queue, FrontSession &session) {
     const auto it = queues_.find(controller);
@@ -509,10 +514,10 @@
     it->second.erase(at);
     if (queue != 0) {
         if (const auto admin = it->second.find(0); admin != it->second.end())
-            admin->second->other_queue_left();
+            admin->second->on_io_queue_left();
         return;
     }
-    const auto others = std::move(it->second); // the controller ends with its admin queue
+    const auto others = std::move(it->second); // ending the admin queue ends the controller
     queues_.erase(it);
     for (const auto &[number, other] : others)
         other->close();
--- a/src/net/resp/front.hpp
+++ b/src/net/resp/front.hpp
@@ -1,5 +1,6 @@
-// The platform's front: RESP2 to clients. A connection's commands are worked in parallel and answered in
-// their order.
+/// \file
+/// The RESP2 front end. The commands of one connection are executed in parallel and answered in the order in
+/// which they were sent.
 #pragma once
 
 #include "core/request_dispatcher.hpp"
@@ -10,11 +11,13 @@
 
 namespace marblewood::net::resp {
 
-using OpenIds = std::unordered_set<std::string>; // of requests taken and not yet answered, of all clients
+/// The ids of the open requests of all clients.
+using OpenIds = std::unordered_set<std::string>;
 
+/// Serves a client until its connection has ended.
 asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenIds &open);
 
-// What a command asks. Throws Malformed, which says what is wrong.
+/// Parses an OBJ.GET or OBJ.PUT command. Throws Malformed with the reason if it is invalid.
 core::Request read_request(Value &&command, const Settings &settings);
 
 } // namespace marblewood::net::resp
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -8,134 +8,138 @@
 namespace marblewood::net {
 namespace {
 
-constexpr std::size_t kMostOwed = 256;     // requests of one connection worked at once
-constexpr std::size_t kFreeRein = 4096;    // bytes of a begun message that are kept even when memory is short
-constexpr Micros kWholeWithin = 2'500'000; // us for a begun message to come whole: honest ones take up to 2 s
-constexpr Micros kAskWithin = 2'000'000;   // us for a new client to ask for something
-constexpr Micros kRest = 50'000;           // us for which one that sent what is of no use is not read
-constexpr Micros kReadWithin = 10'000'000; // us for a client to read what it is sent
-constexpr Micros kLinger = 200'000;        // us for a client to see the end of a connection
-constexpr std::size_t kMostPassed =
-    std::size_t{48} * 1024;          // bytes of a begun message that another process goes on with
-constexpr int kReadsAtOnce = 8;      // of a connection that is being closed, before others' turn
-constexpr int kDropped = 8;          // reads, of what it still sends then, after which there is
-constexpr Micros kDropRest = 10'000; // a rest of so many us: whoever floods does not take the time of all
-constexpr std::size_t kReadAhead =
-    std::size_t{64} * 1024; // bytes that a crowded connection is read ahead, to see its end
+constexpr std::size_t kMaxOpenRequests = 256;  // of one connection
+constexpr std::size_t kAlwaysKeptBytes = 4096; // of a partial message, even when memory is short
+constexpr Micros kMessageTimeout = 2'500'000;  // from first to last byte; well-behaved clients take up to 2 s
+constexpr Micros kFirstRequestTimeout = 2'000'000; // from the accept
+constexpr Micros kInvalidInputPause = 50'000;      // before the client of an invalid command is read again
+constexpr Micros kWriteTimeout = 10'000'000;       // for a client to read the bytes of one write
+constexpr Micros kLingerTimeout = 200'000; // for a client to close after the sending side was shut down
+constexpr std::size_t kMaxTransferredBytes =
+    std::size_t{48} * 1024;         // of a partial message handed over to another process
+constexpr int kMaxReadsPerTurn = 8; // of a closing connection, before the event loop serves others
+constexpr int kDiscardReadsPerPause =
+    8; // of discarded input; also the limit after the sending side is shut down
+constexpr Micros kDiscardPause = 10'000; // so that a flooding client cannot take all processor time
+constexpr std::size_t kMaxReadAheadBytes =
+    std::size_t{64} * 1024; // of a connection at its request limit, so that its end is noticed
 constexpr Micros kUnbounded = INT64_MAX;
-constexpr Micros kLook = 50'000; // us between looks at one on which more than that has come
+constexpr Micros kHangUpCheckInterval = 50'000; // for a connection with more than kMaxReadAheadBytes unparsed
 
 } // namespace
 
 asio::awaitable<void> Session::run() {
     client_.notify = [this] {
         arm_closing_timers();
-        if (over_)
+        if (reading_finished_)
             wake();
-        else if (client_.use().owed == 0)
+        else if (client_.use().open_requests == 0)
             interrupt_read();
     };
-    heard_ = client_.early.asked; // by the process that had this client before
+    received_any_ = client_.inherited.asked; // whether it sent a request before the handover
     arm_closing_timers();
-    if (!client_.early.bytes.empty()) { // read by the process that had this client before
-        in_ = std::exchange(client_.early.bytes, {});
-        since_ = client_.early.since;
+    if (!client_.inherited.bytes.empty()) { // read before the handover
+        input_ = std::exchange(client_.inherited.bytes, {});
+        message_started_at_ = client_.inherited.since;
         handle_received(false);
     }
-    while (!over_) {
-        if (client_.use().closing && deadlines_.clock.now() >= client_.closing.end_by)
-            closing_due();
-        if (unread_ && !crowded()) {
-            unread_ = false;
+    while (!reading_finished_) {
+        if (client_.use().closing && deadlines_.clock.now() >= client_.closing.deadline)
+            handle_close_deadline();
+        if (unparsed_input_ && !at_request_limit()) {
+            unparsed_input_ = false;
             handle_received(true);
             continue;
         }
         boost::system::error_code error;
-        if (client_.pass && hand_over())
+        if (client_.transfer && hand_over())
             break;
         if (client_.use().closing && end_between_requests())
             break;
-        arm_patience();
-        if (unread_ && (in_.size() >= kReadAhead || memory_.is_exhausted())) {
-            co_await rest(kLook, true);
-            if (!hung_up())
+        arm_client_timeout();
+        if (unparsed_input_ && (input_.size() >= kMaxReadAheadBytes || memory_.is_exhausted())) {
+            co_await pause(kHangUpCheckInterval, true);
+            if (!client_hung_up())
                 continue;
-            client_gone();
+            handle_disconnect();
             break;
         }
-        const bool fresh = !begun();
-        error = co_await readable();
+        const bool starts_message = !has_partial_message();
+        error = co_await wait_readable();
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
-            error = read_now(client_.socket, in_);
+            error = read_now(client_.socket, input_);
         if (error) {
-            client_gone();
+            handle_disconnect();
             break;
         }
-        unread_ = crowded();
-        if (unread_)
-            share_.resize(held() + out_.size());
+        unparsed_input_ = at_request_limit();
+        if (unparsed_input_)
+            memory_reservation_.resize(buffered_bytes() + output_.size());
         else
-            handle_received(fresh);
-        if (wrong_) {
-            wrong_ = false;
-            co_await rest(kRest);
-            if (hung_up()) {
-                client_gone();
+            handle_received(starts_message);
+        if (pause_reading_) {
+            pause_reading_ = false;
+            co_await pause(kInvalidInputPause);
+            if (client_hung_up()) {
+                handle_disconnect();
                 break;
             }
         }
     }
-    over_ = true;
-    patience_.reset();
-    // Nothing is owed to a client that has said nothing: what crosses this is not read, and comes again.
-    if (!heard_ && client_.use().closing)
+    reading_finished_ = true;
+    client_timeout_.reset();
+    // A client that has sent nothing is owed no answer, so its connection is closed at once. It sends a
+    // request that crosses this close again.
+    if (!received_any_ && client_.use().closing)
         client_.close(CloseReason::ClientDisconnected);
-    co_await end();
-    closing_.reset();
-    awaited_.reset();
-    flush_.reset();
+    co_await finish();
+    close_timer_.reset();
+    input_wait_timer_.reset();
+    flush_timer_.reset();
     client_.notify = nullptr;
 }
 
-// Told to end, a connection ends between requests, if there is such a moment in time. Takes what has come, a
-// bounded part at once, and ends the connection where nothing has; true: it is over.
+// Ends a closing connection between two requests, if there is such a moment before its deadline. Reads and
+// handles what has arrived, at most kMaxReadsPerTurn reads per call, and shuts the connection down once
+// nothing is left to read. Returns true if the connection is finished.
 bool Session::end_between_requests() {
-    for (int n = 0; n < kReadsAtOnce && !crowded(); ++n) {
+    for (int n = 0; n < kMaxReadsPerTurn && !at_request_limit(); ++n) {
         if (shut_down_if_quiet())
             return true;
-        const bool fresh = !begun();
-        const std::size_t before = in_.size();
-        const auto error = read_now(client_.socket, in_);
-        const bool came = in_.size() != before;
-        if (came)
-            handle_received(fresh);
-        if (over_)
+        const bool starts_message = !has_partial_message();
+        const std::size_t before = input_.size();
+        const auto error = read_now(client_.socket, input_);
+        const bool received = input_.size() != before;
+        if (received)
+            handle_received(starts_message);
+        if (reading_finished_)
             return true;
-        if (error || !came)
+        if (error || !received)
             return false;
     }
     return false;
 }
 
-// The one place where a connection that was told to end does so. It looks for bytes and shuts the sending
-// side in two calls without a turn of the loop between them: a request that has come before is read and
-// answered, and one that comes later finds the end on its way to its client.
+// The only place that shuts down a closing connection. It checks for unread bytes and shuts down the sending
+// side in two consecutive calls, without returning to the event loop in between: a request that arrives
+// before the check is read and answered, and the client of one that arrives later is already being sent the
+// end of the stream.
 bool Session::shut_down_if_quiet() {
     const ConnectionUse &use = client_.use();
-    if (over_ || gone_ || !use.closing || use.owed > 0)
+    if (reading_finished_ || disconnected_ || !use.closing || use.open_requests > 0)
         return false;
-    if (parsing_ || unread_ || unwritten_ || !out_.empty() || !may_end())
+    if (parsing_ || unparsed_input_ || write_unfinished_ || !output_.empty() || !may_end())
         return false;
-    if (deadlines_.clock.now() < awaits_until())
+    if (deadlines_.clock.now() < wait_for_input_until())
         return false;
     if (!quiet(client_.socket))
         return false;
     boost::system::error_code ignored;
     client_.socket.shutdown(tcp::socket::shutdown_send, ignored);
-    client_.mark_ending();
-    shut_down_ = over_ = true;
+    client_.mark_lingering();
+    send_shut_down_ = reading_finished_ = true;
     return true;
 }
 
@@ -143,65 +147,66 @@
     if (!client_.use().closing)
         return;
     if (!client_.closing.withdrawn)
-        closing_ = deadlines_.at(client_.closing.end_by, [this] { closing_due(); });
-    if (const Micros until = awaits_until(); until != kUnbounded)
-        awaited_ = deadlines_.at(until, [this] { interrupt_read(); });
+        close_timer_ = deadlines_.at(client_.closing.deadline, [this] { handle_close_deadline(); });
+    if (const Micros until = wait_for_input_until(); until != kUnbounded)
+        input_wait_timer_ = deadlines_.at(until, [this] { interrupt_read(); });
 }
 
-// Until when bytes may be on their way for which the end waits: the rest of a burst on a new connection, the
-// first bytes of a client that has just connected, or the rest of a request, for which there is little time
-// once requests are withdrawn.
-Micros Session::awaits_until() const {
+// Until when the shutdown of a closing connection waits for bytes that may be in transit: the rest of a burst
+// on a new connection, the first bytes of a client that has just connected, or the rest of a partial request,
+// which gets only kRemainderTimeout once open requests have been withdrawn.
+Micros Session::wait_for_input_until() const {
     const Closing &closing = client_.closing;
-    const Micros burst = client_.use().accepted + Closing::kBurstWithin;
-    if (!heard_)
-        return std::max(burst, closing.first_until);
+    const Micros burst = client_.use().accepted + Closing::kBurstGrace;
+    if (!received_any_)
+        return std::max(burst, closing.first_byte_until);
     if (!client_.use().partial)
         return burst;
-    return closing.withdrawn ? std::max(burst, closing.rest_until) : kUnbounded;
+    return closing.withdrawn ? std::max(burst, closing.remainder_until) : kUnbounded;
 }
 
-// The connection's time is over. A request that was taken long before may keep it, but nothing newer: answers
-// come in order, so that what stands before the newer has to be answered, too.
-void Session::closing_due() {
+// Handles the deadline of a closing connection. Requests read before new ones began to be refused may
+// keep it open, but newer input may not: answers are sent in order, so if there is newer input, all older
+// requests are answered now as well.
+void Session::handle_close_deadline() {
     Closing &closing = client_.closing;
-    const bool newer = newer_ || unread_ || client_.use().partial;
-    if (closing.withdrawn || (!newer && !closing.lone_requests))
+    const bool newer_input = received_refused_ || unparsed_input_ || client_.use().partial;
+    if (closing.withdrawn || (!newer_input && !closing.withdraw_lone_requests))
         return;
     closing.withdrawn = true;
-    closing.rest_until = deadlines_.clock.now() + Closing::kRestWithin;
+    closing.remainder_until = deadlines_.clock.now() + Closing::kRemainderTimeout;
     arm_closing_timers();
-    flush_ = deadlines_.in(Closing::kFlushWithin, [this] {
-        if (!passing_on())
+    flush_timer_ = deadlines_.in(Closing::kFlushTimeout, [this] {
+        if (!is_streaming())
             client_.close(CloseReason::NotReading);
     });
-    if (client_.use().owed > 0)
-        core::log("client {}: {} open requests are withdrawn ({})", client_.id, client_.use().owed,
-                  name(*client_.reason));
+    if (client_.use().open_requests > 0)
+        core::log("client {}: {} open requests are withdrawn ({})", client_.id, client_.use().open_requests,
+                  name(*client_.close_reason));
     answer_now();
     interrupt_read();
     wake();
 }
 
-bool Session::crowded() const {
-    return client_.use().owed >= kMostOwed;
+bool Session::at_request_limit() const {
+    return client_.use().open_requests >= kMaxOpenRequests;
 }
 
-// Whoever waits for an answer and goes is seen here: nothing more is done for it.
-void Session::client_gone() {
-    if (std::exchange(gone_, true))
+// Records that the client has disconnected, also while it waits for answers, and abandons its open requests.
+void Session::handle_disconnect() {
+    if (std::exchange(disconnected_, true))
         return;
-    client_.note(CloseReason::ClientDisconnected);
-    left();
+    client_.note_close_reason(CloseReason::ClientDisconnected);
+    on_disconnect();
 }
 
-bool Session::hung_up() const {
+bool Session::client_hung_up() const {
     pollfd end{client_.socket.native_handle(), POLLRDHUP, 0};
     return !client_.socket.is_open() ||
            (::poll(&end, 1, 0) > 0 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0);
 }
 
-asio::awaitable<boost::system::error_code> Session::readable() {
+asio::awaitable<boost::system::error_code> Session::wait_readable() {
     boost::system::error_code error;
     co_await client_.socket.async_wait(
         tcp::socket::wait_read,
@@ -211,166 +216,174 @@
 }
 
 bool Session::hand_over() {
-    if (client_.use().owed > 0 || writing_ || wrong_)
+    if (client_.use().open_requests > 0 || writing_ || pause_reading_)
         return false;
-    auto bytes = unfinished();
-    if (!bytes || bytes->size() > kMostPassed)
+    auto bytes = partial_input();
+    if (!bytes || bytes->size() > kMaxTransferredBytes)
         return false;
     boost::system::error_code error;
     Descriptor fd(client_.socket.release(error));
-    gone_ = true; // from here
-    client_.note(CloseReason::HandedOver);
+    disconnected_ = true; // as far as this process is concerned
+    client_.note_close_reason(CloseReason::HandedOver);
     if (!error)
-        client_.pass({front(), client_.use().asked, since_, std::move(*bytes), std::move(fd)});
+        client_.transfer({front_name(), client_.use().has_requested, message_started_at_, std::move(*bytes),
+                          std::move(fd)});
     return true;
 }
 
-void Session::handle_received(bool fresh) {
+void Session::handle_received(bool starts_message) {
     client_.received(deadlines_.clock.now());
-    heard_ = true;
-    if (client_.refuses(client_.use().used))
-        newer_ = true;
-    if (fresh)
-        since_ = client_.use().used;
+    received_any_ = true;
+    if (client_.refuses(client_.use().last_used))
+        received_refused_ = true;
+    if (starts_message)
+        message_started_at_ = client_.use().last_used;
     parsing_ = true;
-    take_all(); // may answer, and write the answers, before all of it is parsed
+    parse_received(); // may send answers before all of the input is parsed
     parsing_ = false;
-    if (in_.empty())
-        std::string().swap(in_); // its room, too
-    // Many connections with a part of a message each must not add up to more than the machine has.
-    if (begun() && !over_ && memory_.is_exhausted() && held() > kFreeRein)
+    if (input_.empty())
+        std::string().swap(input_); // frees its memory, which clear() would keep
+    // Bounds the memory that many connections with a partial message each take together.
+    if (has_partial_message() && !reading_finished_ && memory_.is_exhausted() &&
+        buffered_bytes() > kAlwaysKeptBytes)
         stop_reading(CloseReason::Incomplete, "no room for it");
-    client_.set_partial(begun() && !over_);
-    share_.resize(held() + out_.size());
+    client_.set_partial(has_partial_message() && !reading_finished_);
+    memory_reservation_.resize(buffered_bytes() + output_.size());
 }
 
-// What the client is given time for now. One that holds a connection and says nothing, or half of something,
-// takes descriptors and memory from the others.
-void Session::arm_patience() {
-    patience_.reset();
-    const Micros idle = may_idle();
-    if (over_)
+// Sets the timeout for what the client has to do next: complete a message, send its first request, or send
+// another one. Idle connections and partial messages take descriptors and memory from other clients.
+void Session::arm_client_timeout() {
+    client_timeout_.reset();
+    const Micros idle = idle_timeout();
+    if (reading_finished_)
         return;
     const ConnectionUse &use = client_.use();
     if (use.partial)
-        patience_ = deadlines_.at(since_ + kWholeWithin, [this] {
+        client_timeout_ = deadlines_.at(message_started_at_ + kMessageTimeout, [this] {
             stop_reading(CloseReason::Incomplete, "it does not come whole");
         });
-    else if (use.idle() && (!use.asked || (idle > 0 && !client_.staying)))
-        patience_ = deadlines_.at(use.asked ? use.used + idle : use.accepted + kAskWithin, [this, &use] {
-            client_.begin_closing(use.asked ? CloseReason::Idle : CloseReason::SilentClient,
-                                  deadlines_.clock.now());
-        });
+    else if (use.idle() && (!use.has_requested || (idle > 0 && !client_.exempt_from_idle_timeout)))
+        client_timeout_ = deadlines_.at(
+            use.has_requested ? use.last_used + idle : use.accepted + kFirstRequestTimeout, [this, &use] {
+                client_.begin_closing(use.has_requested ? CloseReason::Idle : CloseReason::SilentClient,
+                                      deadlines_.clock.now());
+            });
 }
 
 void Session::stop_reading(CloseReason reason, const char *why) {
-    client_.note(reason);
-    spoilt(why);
-    over_ = true;
+    client_.note_close_reason(reason);
+    reject_input(why);
+    reading_finished_ = true;
     client_.set_partial(false);
     client_.notify();
 }
 
-// A client that sends what is of no use, and again as soon as it is told so, is not let take the time of all.
-asio::awaitable<void> Session::rest(Micros length, bool until_room) {
-    bool over = false;
-    const auto entry = deadlines_.in(length, [&] {
-        over = true;
+// Suspends reading, so that a client that sends invalid commands in a loop does not take the processor time
+// of all others.
+asio::awaitable<void> Session::pause(Micros duration, bool until_below_limit) {
+    bool elapsed = false;
+    const auto entry = deadlines_.in(duration, [&] {
+        elapsed = true;
         wake();
     });
-    while (!over && !(until_room && !crowded()))
-        co_await wake_.take();
+    while (!elapsed && !(until_below_limit && !at_request_limit()))
+        co_await wake_signal_.take();
 }
 
 void Session::send(std::string_view bytes, std::size_t answers) {
-    out_ += bytes;
-    out_answers_ += answers;
-    share_.resize(held() + out_.size());
-    if (writing_ || gone_)
+    output_ += bytes;
+    output_answers_ += answers;
+    memory_reservation_.resize(buffered_bytes() + output_.size());
+    if (writing_ || disconnected_)
         return;
     writing_ = client_.writing = true;
     asio::co_spawn(client_.socket.get_executor(), write(shared_from_this()), asio::detached);
 }
 
 asio::awaitable<void> Session::write(std::shared_ptr<Session> self) {
-    while (!self->gone_ && !self->out_.empty()) {
-        const std::string out = std::exchange(self->out_, {});
-        const std::size_t answers = std::exchange(self->out_answers_, 0);
+    while (!self->disconnected_ && !self->output_.empty()) {
+        const std::string out = std::exchange(self->output_, {});
+        const std::size_t answers = std::exchange(self->output_answers_, 0);
         boost::system::error_code error;
-        const auto limit = self->deadlines_.in(
-            kReadWithin, [&client = self->client_] { client.close(CloseReason::NotReading); });
-        self->unwritten_ = true;
+        const auto timeout = self->deadlines_.in(
+            kWriteTimeout, [&client = self->client_] { client.close(CloseReason::NotReading); });
+        self->write_unfinished_ = true;
         co_await write_whole(self->client_.socket, out, error);
-        self->unwritten_ = false;
-        self->client_.settle_answers(answers);
+        self->write_unfinished_ = false;
+        self->client_.complete_requests(answers);
         self->client_.received(self->deadlines_.clock.now());
-        self->share_.resize(self->held() + self->out_.size());
-        // The reader sees it, and tells that the client has gone.
+        self->memory_reservation_.resize(self->buffered_bytes() + self->output_.size());
+        // The closed socket fails the read in run() or finish(), which then handles the disconnect.
         if (error)
             self->client_.close(CloseReason::ClientDisconnected);
-        // At once: a client that goes on sending has its answer now, and its next request soon.
-        if (!error && !self->client_.pass)
+        // Right after the write: a client that keeps sending has its answer now and may send its next request
+        // soon.
+        if (!error && !self->client_.transfer)
             self->shut_down_if_quiet();
-        co_await asio::post(self->client_.socket.get_executor(), asio::use_awaitable); // others' turn
+        // Lets other connections run.
+        co_await asio::post(self->client_.socket.get_executor(), asio::use_awaitable);
         self->wake();
     }
     self->writing_ = self->client_.writing = false;
     self->wake();
-    if (self->flow_.empty())
-        self->flow_.put(true);
+    if (self->flushed_signal_.empty())
+        self->flushed_signal_.put(true);
     if (!self->client_.notify)
-        co_return; // it has ended
-    self->arm_patience();
-    if (self->client_.use().closing || self->client_.pass)
+        co_return; // run() has returned
+    self->arm_client_timeout();
+    if (self->client_.use().closing || self->client_.transfer)
         self->client_.notify();
 }
 
-asio::awaitable<void> Session::flushed() {
-    while (writing_ && !gone_)
-        co_await flow_.take();
+asio::awaitable<void> Session::wait_flushed() {
+    while (writing_ && !disconnected_)
+        co_await flushed_signal_.take();
 }
 
-// All that was asked is answered, then the client sees the end. What it wrote meanwhile is read and dropped,
-// so that its leaving is seen, and a reset does not take the last answer from it. Before the sending side is
-// shut that is what stands behind QUIT or a malformed message.
-asio::awaitable<void> Session::end() {
+// Waits until all open requests are answered, shuts down the sending side and waits for the client to close.
+// Input that arrives meanwhile is read and discarded, so that a disconnect is noticed, and so that closing
+// the socket with unread bytes does not cause a reset that destroys the last answer. Until the sending side
+// is shut down, this input is what follows QUIT or a malformed message.
+asio::awaitable<void> Session::finish() {
     std::string dropped;
-    for (int n = 1; !gone_ && !shut_down_ && (writing_ || client_.use().owed > 0); ++n, dropped.clear()) {
-        boost::system::error_code error = co_await readable();
+    for (int n = 1; !disconnected_ && !send_shut_down_ && (writing_ || client_.use().open_requests > 0);
+         ++n, dropped.clear()) {
+        boost::system::error_code error = co_await wait_readable();
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
             error = read_now(client_.socket, dropped);
         client_.dropped_before_shutdown += dropped.size();
-        if (error || hung_up())
-            client_gone();
-        else if (n % kDropped == 0)
-            co_await rest(kDropRest);
+        if (error || client_hung_up())
+            handle_disconnect();
+        else if (n % kDiscardReadsPerPause == 0)
+            co_await pause(kDiscardPause);
     }
-    if (gone_)
-        client_.close(CloseReason::ClientDisconnected); // what is still being written has no reader
+    if (disconnected_)
+        client_.close(CloseReason::ClientDisconnected); // fails a write in progress, which nobody would read
     while (writing_)
-        co_await wake_.take();
-    if (gone_)
+        co_await wake_signal_.take();
+    if (disconnected_)
         co_return;
     boost::system::error_code error;
     if (!client_.use().partial)
-        client_.dropped_before_shutdown += in_.size(); // read, and never parsed
-    if (!shut_down_) {
+        client_.dropped_before_shutdown += input_.size(); // read and never parsed
+    if (!send_shut_down_) {
         client_.dropped_before_shutdown += client_.unread_bytes();
         client_.socket.shutdown(tcp::socket::shutdown_send, error);
-        client_.mark_ending();
+        client_.mark_lingering();
     }
-    const auto limit = deadlines_.in(kLinger, [this] {
+    const auto timeout = deadlines_.in(kLingerTimeout, [this] {
         client_.close(CloseReason::ClientDisconnected);
         wake();
     });
-    for (int n = 0; n < kDropped && !error; ++n, dropped.clear()) {
+    for (int n = 0; n < kDiscardReadsPerPause && !error; ++n, dropped.clear()) {
         error = co_await read_more(client_.socket, dropped);
         client_.dropped_after_shutdown += dropped.size();
     }
     while (!error && client_.socket.is_open())
-        co_await wake_.take();
+        co_await wake_signal_.take();
 }
 
 } // namespace marblewood::net
--- a/src/net/session.hpp
+++ b/src/net/session.hpp
@@ -1,5 +1,6 @@
-// One client's connection, whatever it speaks: reads, writes, knows when to end. A front derives from it and
-// gives it its protocol.
+/// \file
+/// The part of a client session that is common to all protocols: reading, writing, timeouts, backpressure and
+/// an orderly end of the connection. Each front end derives its session from it and adds the protocol.
 #pragma once
 
 #include "core/mailbox.hpp"
@@ -10,83 +11,97 @@
 
 namespace marblewood::net {
 
+/// Serves one client connection. All its coroutines and timers run on the executor of the client's socket.
 class Session : public std::enable_shared_from_this<Session> {
 public:
     Session(Client &client, core::Deadlines &deadlines, core::MemoryBudget &memory)
-        : client_(client), deadlines_(deadlines), wake_(client.socket.get_executor()),
-          flow_(client.socket.get_executor()), share_(memory), memory_(memory) {}
+        : client_(client), deadlines_(deadlines), wake_signal_(client.socket.get_executor()),
+          flushed_signal_(client.socket.get_executor()), memory_reservation_(memory), memory_(memory) {}
     virtual ~Session() = default;
-    asio::awaitable<void> run(); // until the connection has ended
+    /// Serves the client; returns once the connection has ended.
+    asio::awaitable<void> run();
 
 protected:
-    virtual void take_all() = 0;                        // takes what is whole out of `in_`
-    virtual void left() = 0;                            // the client has gone: nothing more can be answered
-    virtual bool begun() const { return !in_.empty(); } // part of a message has come
-    virtual std::size_t held() const { return in_.size(); }
-    virtual Micros may_idle() const = 0; // us for which a client that has asked may be silent; 0: for good
-    virtual void spoilt(const char *why) = 0; // what has come can't be finished: tells the client
-    // What has come of the next message, for another process to go on with; nothing where it can't.
-    virtual std::optional<std::string> unfinished() const { return std::nullopt; }
-    virtual const char *front() const = 0; // its name between processes
-    virtual void answer_now() = 0; // has all that is open answered now, but for a value that is passed on
-    virtual bool passing_on() const { return false; } // a long value is on its way to the client
-    // Whether its end takes nothing else along; if not, it waits for `client_.notify`.
+    /// Removes all complete messages from `input_` and handles them.
+    virtual void parse_received() = 0;
+    /// The client has disconnected; its open requests cannot be answered any more.
+    virtual void on_disconnect() = 0;
+    /// Whether the client has sent only a part of its next message so far.
+    virtual bool has_partial_message() const { return !input_.empty(); }
+    /// Bytes that count towards the memory budget, apart from the output queue.
+    virtual std::size_t buffered_bytes() const { return input_.size(); }
+    /// For how long a client that has sent a request before may stay idle; 0 means without limit.
+    virtual Micros idle_timeout() const = 0;
+    /// Sends a protocol error to the client and discards the input, which cannot be completed or parsed.
+    virtual void reject_input(const char *why) = 0;
+    /// The bytes received of the next message, with which another process can continue; empty if the
+    /// protocol's connections cannot be handed over.
+    virtual std::optional<std::string> partial_input() const { return std::nullopt; }
+    virtual const char *front_name() const = 0; ///< identifies the front end in a hot restart
+    /// Has all open requests answered at once, except one whose value is being streamed to the client.
+    virtual void answer_now() = 0;
+    /// Whether a long value is being streamed from a node to the client.
+    virtual bool is_streaming() const { return false; }
+    /// Whether the connection can end without ending others that have open requests. If not, the session
+    /// waits until `client_.notify` is called.
     virtual bool may_end() const { return true; }
 
-    // Queues bytes; with them `answers` of what is owed are paid.
+    /// Queues bytes for the client. Once they are written, `answers` open requests count as completed.
     void send(std::string_view bytes, std::size_t answers);
-    bool gone() const { return gone_; }
-    asio::awaitable<void> flushed(); // until all that was queued is written, or the client has gone
+    bool is_disconnected() const { return disconnected_; }
+    /// Waits until all queued bytes are written or the client has disconnected.
+    asio::awaitable<void> wait_flushed();
 
     Client &client_;
     core::Deadlines &deadlines_;
-    std::string in_;     // read, not yet taken
-    Micros since_ = 0;   // when its first byte came
-    bool over_ = false;  // nothing more is read: all that is owed is paid, then the connection ends
-    bool wrong_ = false; // it sent what is of no use: it is read on after a rest
+    std::string input_;             // received and not yet parsed
+    Micros message_started_at_ = 0; // when the first byte of the message in `input_` arrived
+    bool reading_finished_ = false; // no more requests are read; open ones are still answered
+    bool pause_reading_ = false; // the client sent an invalid command: reading pauses for kInvalidInputPause
 
 private:
-    void handle_received(bool fresh);
-    bool crowded() const; // as much is owed as one connection may ask for at once
+    void handle_received(bool starts_message);
+    bool at_request_limit() const; // has kMaxOpenRequests open requests
     bool hand_over();
-    void arm_patience();
+    void arm_client_timeout();
     bool end_between_requests();
     bool shut_down_if_quiet();
-    Micros awaits_until() const;
+    Micros wait_for_input_until() const;
     void arm_closing_timers();
-    void closing_due();
+    void handle_close_deadline();
     void stop_reading(CloseReason reason, const char *why);
-    void client_gone();
-    bool hung_up() const; // it has, behind whatever has come and is not read yet
-    asio::awaitable<boost::system::error_code>
-    readable(); // operation_aborted where it was interrupted instead
-    asio::awaitable<void> rest(Micros length, bool until_room = false); // or until no longer crowded
-    void interrupt_read() {
-        read_interrupted_.emit(asio::cancellation_type::all);
-    }             // ends readable(), and nothing else
-    void wake() { // at most one call waits to be heard
-        if (wake_.empty())
-            wake_.put(true);
-        if (over_ || unread_)
+    void handle_disconnect();
+    bool client_hung_up() const; // also if unread bytes precede the end of the stream
+    // Returns operation_aborted if interrupt_read() was called.
+    asio::awaitable<boost::system::error_code> wait_readable();
+    // Waits for `duration`, or with `until_below_limit` at most until at_request_limit() is false.
+    asio::awaitable<void> pause(Micros duration, bool until_below_limit = false);
+    // Ends wait_readable() and nothing else.
+    void interrupt_read() { read_interrupted_.emit(asio::cancellation_type::all); }
+    // Wakes the coroutine that waits for wake_signal_. Signals that are not consumed yet are merged into one.
+    void wake() {
+        if (wake_signal_.empty())
+            wake_signal_.put(true);
+        if (reading_finished_ || unparsed_input_)
             interrupt_read();
     }
     asio::awaitable<void> write(std::shared_ptr<Session> self);
-    asio::awaitable<void> end();
+    asio::awaitable<void> finish();
 
-    core::Mailbox<bool> wake_, flow_;
-    std::string out_;
-    std::size_t out_answers_ = 0;
-    bool writing_ = false, gone_ = false;
-    bool unwritten_ = false; // what write() took out of out_ is not written whole yet
-    bool parsing_ = false;   // what was read is being taken
-    bool unread_ = false;    // in_ holds what came while this connection was crowded
-    bool heard_ = false;     // the client has sent something
-    bool newer_ = false;     // bytes came after the connection was told to end
-    bool shut_down_ = false; // the client has been told the end: nothing more can be answered
+    core::Mailbox<bool> wake_signal_, flushed_signal_;
+    std::string output_;
+    std::size_t output_answers_ = 0;
+    bool writing_ = false, disconnected_ = false;
+    bool write_unfinished_ = false; // write() has taken bytes out of output_ and not written all of them yet
+    bool parsing_ = false;          // parse_received() is running
+    bool unparsed_input_ = false;   // input_ holds bytes read ahead while at the request limit
+    bool received_any_ = false;     // the client has sent at least one byte
+    bool received_refused_ = false; // has received bytes that are refused (Client::refuses)
+    bool send_shut_down_ = false;   // the sending side is shut down: no more answers can be sent
     asio::cancellation_signal read_interrupted_;
-    core::MemoryBudget::Reservation share_;
+    core::MemoryBudget::Reservation memory_reservation_;
     core::MemoryBudget &memory_;
-    core::Deadlines::Entry patience_, closing_, awaited_, flush_;
+    core::Deadlines::Entry client_timeout_, close_timer_, input_wait_timer_, flush_timer_;
 };
 
 } // namespace marblewood::net
--- a/tests/eviction_test.cpp
+++ b/tests/eviction_test.cpp
@@ -1,5 +1,5 @@
-// The order in which clients' connections are closed for new ones: who goes first, and what finding it costs
-// with few and with many connections, on real sockets.
+// The order in which client connections are closed to make room for new ones: which one is chosen, and that
+// the cost of choosing it does not grow with the number of connections, measured on real sockets.
 #include "net/clients.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -18,10 +18,10 @@
 using net::EvictionOrder;
 
 namespace {
-std::uint64_t unread_queries = 0; // system calls that asked how many bytes wait unread
+std::uint64_t unread_queries = 0; // calls of ioctl(FIONREAD)
 }
 
-// Counts what Asio's available() asks of the system.
+// Counts the system calls that Asio's available() makes.
 extern "C" int ioctl(int fd, unsigned long request, ...) noexcept {
     using Ioctl = int (*)(int, unsigned long, ...);
     static const auto next = reinterpret_cast<Ioctl>(::dlsym(RTLD_NEXT, "ioctl"));
@@ -41,37 +41,38 @@
     bool unread = false;
 };
 
-// The rule as it is stated, looked up over all connections anew.
-std::optional<std::pair<int, Micros>> stated_rank(const Connection &connection, Micros now) {
+// The specified rule: a connection's queue and last use, or nothing if it may not be closed. Computed without
+// state.
+std::optional<std::pair<int, Micros>> expected_rank(const Connection &connection, Micros now) {
     const ConnectionUse &use = connection.use();
-    if (use.ending)
-        return std::pair(1, use.used);
-    const bool ends_by_itself = use.closing && (use.asked || use.partial);
-    if (ends_by_itself || use.owed > 0 || (use.partial && use.asked) || connection.unread)
+    if (use.lingering)
+        return std::pair(1, use.last_used);
+    const bool ends_by_itself = use.closing && (use.has_requested || use.partial);
+    if (ends_by_itself || use.open_requests > 0 || (use.partial && use.has_requested) || connection.unread)
         return std::nullopt;
-    if (now - use.accepted < EvictionOrder::kNewcomerGrace && !use.asked)
-        return std::pair(4, use.used);
-    return std::pair(use.partial ? 3 : use.asked ? 2 : 0, use.used);
+    if (now - use.accepted < EvictionOrder::kNewcomerGrace && !use.has_requested)
+        return std::pair(4, use.last_used);
+    return std::pair(use.partial ? 3 : use.has_requested ? 2 : 0, use.last_used);
 }
 
-Connection *stated_first(std::list<Connection> &connections, Micros now) {
+Connection *expected_first(std::list<Connection> &connections, Micros now) {
     Connection *first = nullptr;
     std::pair<int, Micros> least;
     for (Connection &connection : connections)
-        if (const auto rank = stated_rank(connection, now); rank && (!first || *rank < least))
+        if (const auto rank = expected_rank(connection, now); rank && (!first || *rank < least))
             first = &connection, least = *rank;
     return first;
 }
 
-Connection *stated_idle_asker(std::list<Connection> &connections, std::size_t &askers) {
+Connection *expected_idle_requester(std::list<Connection> &connections, std::size_t &requesters) {
     Connection *first = nullptr;
-    askers = 0;
+    requesters = 0;
     for (Connection &connection : connections) {
         const ConnectionUse &use = connection.use();
-        if (!use.asked || use.lasting || use.closing)
+        if (!use.has_requested || use.persistent || use.closing)
             continue;
-        ++askers;
-        if (use.idle() && (!first || use.used < first->use().used))
+        ++requesters;
+        if (use.idle() && (!first || use.last_used < first->use().last_used))
             first = &connection;
     }
     return first;
@@ -82,13 +83,13 @@
     explicit Schedule(std::uint64_t seed) : random_(seed) {}
 
     void step() {
-        now_ += part(40'000);
-        if (connections_.empty() || part(5) == 0) {
+        now_ += random_up_to(40'000);
+        if (connections_.empty() || random_up_to(5) == 0) {
             connections_.emplace_back(order_, now_);
             return;
         }
-        auto at = std::next(connections_.begin(), static_cast<long>(part(connections_.size() - 1)));
-        if (part(9) == 0) {
+        auto at = std::next(connections_.begin(), static_cast<long>(random_up_to(connections_.size() - 1)));
+        if (random_up_to(9) == 0) {
             connections_.erase(at);
             return;
         }
@@ -96,11 +97,11 @@
     }
 
     void compare() {
-        std::size_t askers = 0;
-        Connection *const idle = stated_idle_asker(connections_, askers);
-        ASSERT_EQ(order_.askers(), askers);
-        ASSERT_EQ(order_.longest_idle_asker(), idle);
-        Connection *const first = stated_first(connections_, now_);
+        std::size_t requesters = 0;
+        Connection *const idle = expected_idle_requester(connections_, requesters);
+        ASSERT_EQ(order_.requesters(), requesters);
+        ASSERT_EQ(order_.longest_idle_requester(), idle);
+        Connection *const first = expected_first(connections_, now_);
         const auto unread = [](EvictionOrder::Entry &entry) {
             return static_cast<Connection &>(entry).unread;
         };
@@ -108,25 +109,25 @@
     }
 
 private:
-    std::uint64_t part(std::uint64_t most) { return random_() % (most + 1); }
+    std::uint64_t random_up_to(std::uint64_t max) { return random_() % (max + 1); }
     void use(Connection &connection) {
-        switch (part(8)) {
+        switch (random_up_to(8)) {
         case 0:
-            return connection.mark_asked();
+            return connection.mark_requested();
         case 1:
-            return connection.mark_lasting();
+            return connection.mark_persistent();
         case 2:
-            return connection.owe_answer();
+            return connection.add_open_request();
         case 3:
-            return connection.use().owed > 0 ? connection.settle_answers(1) : void();
+            return connection.use().open_requests > 0 ? connection.complete_requests(1) : void();
         case 4:
-            return connection.set_partial(part(1) == 1);
+            return connection.set_partial(random_up_to(1) == 1);
         case 5:
-            return part(5) == 0 ? connection.mark_closing() : void();
+            return random_up_to(5) == 0 ? connection.mark_closing() : void();
         case 6:
-            return part(5) == 0 ? connection.mark_ending() : void();
-        default: // bytes have come, or those that had are read
-            connection.unread = !connection.unread && part(1) == 1;
+            return random_up_to(5) == 0 ? connection.mark_lingering() : void();
+        default: // bytes arrive, or unread ones are read
+            connection.unread = !connection.unread && random_up_to(1) == 1;
             connection.received(now_);
         }
     }
@@ -150,29 +151,29 @@
     }
 }
 
-// Clients that hold connections and say nothing, and newcomers for which one after another is closed.
+// A full broker whose clients keep idle connections, one of which is closed for each newcomer.
 class FullBroker {
 public:
     explicit FullBroker(std::size_t clients)
         : budget_(descriptors_for(clients)),
-          served_(io_, deadlines_, budget_, figures_, net::listen_at(io_, kAnyPort),
-                  [](net::Client &client) { return hold(client); }),
-          at_(net::listen_with(io_, net::Descriptor(::dup(served_.listener()))).local_endpoint()) {
+          clients_(io_, deadlines_, budget_, figures_, net::listen_at(io_, kAnyPort),
+                   [](net::Client &client) { return hold_open(client); }),
+          endpoint_(net::listen_with(io_, net::Descriptor(::dup(clients_.listener()))).local_endpoint()) {
         for (std::size_t n = 0; n < clients; ++n)
             connect();
     }
     void connect() {
         net::tcp::socket socket(io_);
-        socket.connect(at_);
+        socket.connect(endpoint_);
         sockets_.push_back(std::move(socket));
         io_.restart();
         io_.poll();
     }
-    int held() const { return budget_.clients(); }
+    int connected() const { return budget_.clients(); }
 
 private:
     inline static const net::tcp::endpoint kAnyPort{boost::asio::ip::address_v4::loopback(), 0};
-    static int descriptors_for(std::size_t clients) { // the most with which so many clients fill the budget
+    static int descriptors_for(std::size_t clients) { // the largest budget that so many clients fill
         int limit = 64;
         while (full(limit + 1, clients))
             ++limit;
@@ -185,7 +186,7 @@
             leases.push_back(budget.client());
         return budget.clients_full();
     }
-    static boost::asio::awaitable<void> hold(net::Client &client) {
+    static boost::asio::awaitable<void> hold_open(net::Client &client) {
         boost::system::error_code error;
         co_await client.socket.async_wait(net::tcp::socket::wait_read,
                                           boost::asio::redirect_error(boost::asio::use_awaitable, error));
@@ -196,16 +197,16 @@
     core::Deadlines deadlines_{io_, clock_};
     net::SocketBudget budget_;
     net::ClientFigures figures_;
-    net::Clients served_;
-    net::tcp::endpoint at_;
+    net::Clients clients_;
+    net::tcp::endpoint endpoint_;
     std::vector<net::tcp::socket> sockets_;
 };
 
 std::uint64_t queries_for_newcomers(std::size_t clients, int newcomers) {
     FullBroker broker(clients);
-    EXPECT_GE(broker.held(), static_cast<int>(clients) - 2);
+    EXPECT_GE(broker.connected(), static_cast<int>(clients) - 2);
     rusage before{}, after{};
-    const std::uint64_t asked = unread_queries;
+    const std::uint64_t queries_before = unread_queries;
     ::getrusage(RUSAGE_SELF, &before);
     for (int n = 0; n < newcomers; ++n)
         broker.connect();
@@ -214,7 +215,7 @@
         return static_cast<double>(to.tv_sec - from.tv_sec) * 1e6 +
                static_cast<double>(to.tv_usec - from.tv_usec);
     };
-    const std::uint64_t queries = unread_queries - asked;
+    const std::uint64_t queries = unread_queries - queries_before;
     fmt::print("{} clients: {} queries and {:.1f} us of processor time for {} newcomers, both ends\n",
                clients, queries,
                spent(before.ru_utime, after.ru_utime) + spent(before.ru_stime, after.ru_stime), newcomers);
