--- a/tests/closing_test.cpp
+++ b/tests/closing_test.cpp
@@ -1,6 +1,6 @@
-// Connections that a broker has to end while their clients go on using them: at quiesce, at a handover, at
-// the end of the process. A client that pipelines is never between requests, so no end may wait for that.
-// Run with the name of a group: quiesce, handover or shutdown.
+// Closing connections that their clients keep using, at quiesce, handover and shutdown. A pipelining client
+// always has a request open, so closing must not wait for a moment without one.
+// Usage: closing_test quiesce|handover|shutdown [scenario]
 #include "faults/fault_proxy.hpp"
 #include "helper.hpp"
 
@@ -11,57 +11,57 @@
 
 namespace {
 
-// What the operators' rule allows from the call of quiesce until no client's connection may be held idle or
-// with a recent request.
-constexpr auto kSentAwayWithin = 4s;
-constexpr auto kLookEvery = 10ms;
-const std::string kPiece = "7f3a9c21e0b4d655", kHanging = "00000000000000aa";
+// The specified time from the quiesce call until no client connection may be open that is idle or has only
+// recent requests.
+constexpr auto kCloseLimit = 4s;
+constexpr auto kPollInterval = 10ms;
+const std::string kPiece = "7f3a9c21e0b4d655", kHangingPiece = "00000000000000aa";
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
-// The longest deadline is over 3 s, so that the process may be ended by force 3.7 s after SIGTERM.
+// With the longest deadline above 3 s, the process may be killed 3.7 s after SIGTERM.
 const std::string kLongDeadlines = [] {
     std::string settings = kSettings;
     const std::string usual = R"("hard_limit":1500.0)";
     return settings.replace(settings.find(usual), usual.size(), R"("hard_limit":7500.0)");
 }();
 
-// Serves each request after the time given, with the request's id as the value; the hanging piece only after
-// ten seconds.
+// Answers each request after `time` with the request's id as the value, but one for kHangingPiece after 10 s.
 RespNode::Script echo_after(std::chrono::milliseconds time) {
     return [time](const auto &words, int) {
-        std::this_thread::sleep_for(words[1] == kHanging ? 10s : time);
+        std::this_thread::sleep_for(words[1] == kHangingPiece ? 10s : time);
         return RespNode::served(words[2]);
     };
 }
 
-// Writes requests without waiting for their answers, which a thread of its own reads, until the broker ends
-// the connection.
+// Sends requests without waiting for the answers, which another thread reads, until the broker ends the
+// connection.
 class PipeliningClient {
 public:
-    PipeliningClient(int port, std::chrono::milliseconds every, int wait_ms,
+    PipeliningClient(int port, std::chrono::milliseconds interval, int wait_ms,
                      const std::string &first = kPiece)
-        : socket_(Socket::to(port)), every_(every), wait_ms_(wait_ms) {
+        : socket_(Socket::to(port)), interval_(interval), wait_ms_(wait_ms) {
         write(first);
         writer_ = std::thread([this] {
-            while (!over_ && write(kPiece))
-                std::this_thread::sleep_for(every_);
+            while (!stop_writing_ && write(kPiece))
+                std::this_thread::sleep_for(interval_);
         });
         reader_ = std::thread([this] { read(); });
     }
     ~PipeliningClient() {
-        over_ = true;
+        stop_writing_ = true;
         socket_.shut();
         writer_.join();
         reader_.join();
     }
-    void stop_writing() { over_ = true; }
+    void stop_writing() { stop_writing_ = true; }
     bool ended() const { return ended_; }
-    // Waits until the broker has ended the connection; when that was.
-    Clock::time_point await_end(std::chrono::milliseconds patience = 15s) const {
-        for (const auto until = Clock::now() + patience; !ended_; std::this_thread::sleep_for(kLookEvery))
+    // Waits until the broker has ended the connection; returns when that was.
+    Clock::time_point await_end(std::chrono::milliseconds timeout = 15s) const {
+        for (const auto until = Clock::now() + timeout; !ended_; std::this_thread::sleep_for(kPollInterval))
             assert(Clock::now() < until);
-        return at_;
+        return ended_at_;
     }
-    // Each answer belongs to its request, in their order, and what a node took has been answered.
+    // Checks that the answers match the requests in order, and that all requests a node received were
+    // answered.
     void check(const RespNode &node) const {
         const std::lock_guard lock(mutex_);
         assert(answers_.size() <= ids_.size());
@@ -97,23 +97,23 @@
             answers_.push_back(value->text.empty() && !value->elements.empty() ? value->elements[0].text
                                                                                : value->text);
         }
-        at_ = Clock::now();
+        ended_at_ = Clock::now();
         ended_ = true;
     }
 
     Socket socket_;
-    const std::chrono::milliseconds every_;
+    const std::chrono::milliseconds interval_;
     const int wait_ms_;
     mutable std::mutex mutex_;
     std::vector<std::string> ids_, answers_;
-    std::atomic<bool> over_ = false, ended_ = false;
-    Clock::time_point at_;
+    std::atomic<bool> stop_writing_ = false, ended_ = false;
+    Clock::time_point ended_at_;
     std::thread writer_, reader_;
 };
 
 void await_answers(const PipeliningClient &client, std::size_t count) {
     for (const auto until = Clock::now() + 15s; client.answered() < count;
-         std::this_thread::sleep_for(kLookEvery))
+         std::this_thread::sleep_for(kPollInterval))
         assert(Clock::now() < until);
 }
 
@@ -125,36 +125,37 @@
 
 // ---- Quiesce ----
 
-// The incident: requests are always open on the connection, and new ones come before these are answered.
+// Guards against an incident: the connection never closed, as new requests kept arriving before the open ones
+// were answered.
 void a_pipelining_client_is_sent_away() {
     RespNode node(echo_after(400ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
-    // Through a network that is slow and cuts what it carries into pieces.
+    // A slow network that splits the data into small pieces.
     FaultProxy proxy(program.port, {.late = 20ms, .most_piece = 50});
     const PipeliningClient client(proxy.port(), 30ms, 4000);
     await_answers(client, 5);
     const auto called = quiesce(program);
-    assert(client.await_end() - called < kSentAwayWithin);
+    assert(client.await_end() - called < kCloseLimit);
     client.check(node);
     assert(client.served() >= 5);
 }
 
-// A request that takes longer than the rule allows stands before newer ones on its connection, whose answers
-// have to wait for its own.
+// A request that takes longer than the allowed time precedes newer ones on its connection, whose answers have
+// to wait for its answer.
 void newer_requests_behind_a_hanging_one_hold_no_connection() {
     RespNode node(echo_after(50ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery, "", kLongDeadlines);
-    const PipeliningClient client(program.port, 50ms, 7000, kHanging);
+    const PipeliningClient client(program.port, 50ms, 7000, kHangingPiece);
     std::this_thread::sleep_for(300ms);
     const auto called = quiesce(program);
-    assert(client.await_end() - called < kSentAwayWithin);
+    assert(client.await_end() - called < kCloseLimit);
     client.check(node);
 }
 
-// One request that was taken long before is still answered, however long that takes, where nothing newer
-// stands behind it.
+// A request received before the quiesce is still answered, however long that takes, if no newer request
+// follows it.
 void an_old_request_alone_keeps_its_connection() {
     RespNode node([](const auto &words, int) {
         std::this_thread::sleep_for(5s);
@@ -166,24 +167,24 @@
     const std::string id = fresh_id();
     client.send(get(kPiece, 0, 7000, id));
     while (node.taken().empty())
-        std::this_thread::sleep_for(kLookEvery);
+        std::this_thread::sleep_for(kPollInterval);
     quiesce(program);
     assert(client.value()->text == id && client.ended());
 }
 
-// The median of some spans, so that one that the machine held up decides nothing.
+// The median, so that a single delay caused by a busy machine does not matter.
 std::chrono::nanoseconds median(std::vector<std::chrono::nanoseconds> spans) {
     std::ranges::sort(spans);
     return spans[spans.size() / 2];
 }
 constexpr int kNewcomers = 15;
-constexpr auto kFrontHasMoved = 1500ms;
+constexpr auto kQuiesceGraceOver = 1500ms;
 
-// Clients that open connections all the same, and ask for nothing: none is held idle.
+// Connections that are opened after the quiesce and send no request are closed at once.
 void an_idle_newcomer_is_sent_away_at_once() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
-    std::this_thread::sleep_until(quiesce(program) + kFrontHasMoved);
+    std::this_thread::sleep_until(quiesce(program) + kQuiesceGraceOver);
     std::vector<std::chrono::nanoseconds> held;
     for (int n = 0; n < kNewcomers; ++n) {
         const auto connected = Clock::now();
@@ -193,12 +194,13 @@
     assert(median(held) < 150ms);
 }
 
-// One that asks is served, also a little later, and its connection ends with the answer.
+// A connection opened after the quiesce that sends a request, at once or a little later, is served and closed
+// after the answer.
 void a_newcomer_that_asks_is_served_and_sent_away() {
     RespNode node(echo_after(1ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
-    std::this_thread::sleep_until(quiesce(program) + kFrontHasMoved);
+    std::this_thread::sleep_until(quiesce(program) + kQuiesceGraceOver);
     std::vector<std::chrono::nanoseconds> held;
     for (int n = 0; n < kNewcomers; ++n) {
         Socket client = program.client();
@@ -214,12 +216,12 @@
     assert(program.figures().at("answered.read") > 0);
 }
 
-// A first request may take 2 s to write, here too.
+// Also on a connection opened after the quiesce, the first request may take 2 s to write.
 void a_newcomer_that_writes_slowly_is_served() {
     RespNode node(echo_after(1ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
-    std::this_thread::sleep_until(quiesce(program) + kFrontHasMoved);
+    std::this_thread::sleep_until(quiesce(program) + kQuiesceGraceOver);
     Socket client = program.client();
     const std::string request = get(kPiece);
     for (std::size_t at = 0; at < request.size(); at += request.size() / 8) {
@@ -231,7 +233,7 @@
     client.ended();
 }
 
-// Bytes of a next request trickle in behind an open one.
+// A partial request arrives while another one is open.
 void part_of_a_request_holds_no_connection() {
     RespNode node(echo_after(2600ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -242,10 +244,10 @@
     std::this_thread::sleep_until(called + 2s); // the request is still open
     client.send(kPing.substr(0, 6));
     client.ended();
-    assert(Clock::now() - called < kSentAwayWithin);
+    assert(Clock::now() - called < kCloseLimit);
 }
 
-// Operators who are not sure of the answer call again.
+// Repeated quiesce calls must not extend the time until connections are closed.
 void calling_again_puts_nothing_off() {
     RespNode node(echo_after(10ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -255,20 +257,20 @@
     assert(idle.value().has_value());
     PipeliningClient client(program.port, 30ms, 1500);
     const auto called = quiesce(program);
-    std::atomic<bool> over = false;
+    std::atomic<bool> stop = false;
     std::thread again([&] {
-        for (; !over; std::this_thread::sleep_for(300ms))
+        for (; !stop; std::this_thread::sleep_for(300ms))
             quiesce(program);
     });
     idle.ended();
     const auto idle_ended = Clock::now();
     const auto client_ended = client.await_end(6s);
-    over = true;
+    stop = true;
     again.join();
-    assert(idle_ended - called < kSentAwayWithin && client_ended - called < kSentAwayWithin);
+    assert(idle_ended - called < kCloseLimit && client_ended - called < kCloseLimit);
 }
 
-// Commands as fast as the connection takes them, all of them answered at once.
+// A client that floods the connection with commands, all of which are answered at once.
 void a_flood_of_commands_holds_no_connection() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -280,7 +282,7 @@
     std::thread reader([&] { client.ended(); });
     while (Clock::now() - called < 6s && client.send(many)) {}
     reader.join();
-    assert(Clock::now() - called < kSentAwayWithin);
+    assert(Clock::now() - called < kCloseLimit);
 }
 
 // A client that writes and never reads.
@@ -289,24 +291,24 @@
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
     Socket client = program.client();
-    std::atomic<bool> over = false;
-    std::thread writer([&] { // until nothing of the answers fits between the two any more, and beyond
-        while (!over && client.send(get(kPiece, 0, 600)))
+    std::atomic<bool> stop = false;
+    std::thread writer([&] { // until the socket buffers are full of answers, and beyond
+        while (!stop && client.send(get(kPiece, 0, 600)))
             std::this_thread::sleep_for(2ms);
     });
     for (long before = -1; program.figures().at("answered.read") !=
                            std::exchange(before, program.figures().at("answered.read"));)
         std::this_thread::sleep_for(1s);
     const auto called = quiesce(program);
-    std::this_thread::sleep_until(called + kSentAwayWithin);
+    std::this_thread::sleep_until(called + kCloseLimit);
     const long open = program.figures().at("clients_open");
-    over = true;
+    stop = true;
     client.shut();
     writer.join();
     assert(open == 0);
 }
 
-// The wall clock is set by an hour, forward and back, while clients are sent away.
+// The wall clock is stepped, by up to an hour forward and back, while connections are being closed.
 void a_stepped_wall_clock_changes_nothing() {
     for (const int seconds : {-3600, -7, 7, 3600}) {
         RespNode node(echo_after(200ms));
@@ -320,15 +322,15 @@
         const auto called = quiesce(program);
         steps.step(std::chrono::seconds(seconds));
         idle.ended();
-        assert(Clock::now() - called < kSentAwayWithin);
-        assert(client.await_end() - called < kSentAwayWithin);
+        assert(Clock::now() - called < kCloseLimit);
+        assert(client.await_end() - called < kCloseLimit);
         client.check(node);
     }
 }
 
 // ---- Handover ----
 
-// What operators tell the successor holds for the connections that its predecessor still has.
+// A quiesce of the successor also applies to connections that its predecessor still holds.
 void a_predecessor_sends_its_clients_away_too() {
     RespNode node(echo_after(400ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -337,11 +339,11 @@
     await_answers(client, 5);
     const Program fresh(old);
     const auto called = quiesce(fresh);
-    assert(client.await_end() - called < kSentAwayWithin);
+    assert(client.await_end() - called < kCloseLimit);
     client.check(node);
 }
 
-// The time since the call counts on in the successor.
+// The time since the quiesce call carries over to the successor.
 void a_handover_puts_nothing_off() {
     RespNode node(echo_after(400ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -356,19 +358,19 @@
         idle.ended();
         idle_ended = Clock::now();
     });
-    std::list<Program> successors; // each but the last hands over again before a second is over
+    std::list<Program> successors; // each but the last hands over again within a second
     for (int n = 1; n <= 4; ++n) {
         std::this_thread::sleep_until(called + n * 800ms);
         successors.emplace_back(successors.empty() ? old : successors.back());
     }
     reader.join();
-    assert(idle_ended - called < kSentAwayWithin);
-    assert(client.await_end() - called < kSentAwayWithin);
+    assert(idle_ended - called < kCloseLimit);
+    assert(client.await_end() - called < kCloseLimit);
     client.check(node);
 }
 
-// The wall clock is set between the starts of the two processes: what one tells the other in times means the
-// same to both. Of two half requests that go over, one is finished, and one never.
+// The wall clock is stepped between the starts of the two processes; the times in the handover must keep
+// their meaning. Of two partial requests that are handed over, one is completed and one never is.
 void a_stepped_wall_clock_changes_no_handover() {
     for (const int seconds : {-3600, 3600}) {
         RespNode node(echo_after(1ms));
@@ -387,31 +389,31 @@
         finished.send(request.substr(request.size() - 10));
         const auto answer = finished.value();
         assert(answer && answer->text == id);
-        stopped.ended(); // an error first, as to any that stops midway
+        stopped.ended(); // after a protocol error, as for any incomplete request
         assert(Clock::now() - began < 3s);
     }
 }
 
 // ---- Shutdown ----
 
-// Until the process may be ended by force, every request that was taken is answered, and then it has gone.
+// Every request received is answered and the process has exited before it may be killed.
 void a_pipelining_client_is_answered_before_the_end(const std::string &first) {
     RespNode node(echo_after(100ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
     Program program(discovery, "", kLongDeadlines);
     const PipeliningClient client(program.port, 30ms, 7000, first);
     std::this_thread::sleep_for(300ms);
-    const auto told = Clock::now();
+    const auto signalled = Clock::now();
     program.signal(SIGTERM);
-    assert(client.await_end() - told < 3700ms);
+    assert(client.await_end() - signalled < 3700ms);
     client.check(node);
     assert(program.exit_code() == 0);
-    assert(Clock::now() - told < 3700ms);
+    assert(Clock::now() - signalled < 3700ms);
 }
 
 struct Scenario {
     const char *group, *name;
-    std::function<void()> play;
+    std::function<void()> run;
 };
 const std::vector<Scenario> kScenarios{
     {"quiesce", "pipelining", a_pipelining_client_is_sent_away},
@@ -429,24 +431,24 @@
     {"handover", "predecessor", a_predecessor_sends_its_clients_away_too},
     {"handover", "wall_clock", a_stepped_wall_clock_changes_no_handover},
     {"shutdown", "pipelining", [] { a_pipelining_client_is_answered_before_the_end(kPiece); }},
-    {"shutdown", "behind_hanging", [] { a_pipelining_client_is_answered_before_the_end(kHanging); }},
+    {"shutdown", "behind_hanging", [] { a_pipelining_client_is_answered_before_the_end(kHangingPiece); }},
 };
 
 } // namespace
 
-// Plays the scenarios of a group, or the one of them that is named.
+// Runs the scenarios of a group, or only the named one.
 int main(int argc, char **argv) {
     const std::string group = argc > 1 ? argv[1] : "", only = argc > 2 ? argv[2] : "";
-    int played = 0;
+    int ran = 0;
     for (const Scenario &scenario : kScenarios) {
         if (scenario.group != group || (!only.empty() && scenario.name != only))
             continue;
         fmt::print("{} {}\n", scenario.group, scenario.name);
         std::fflush(stdout);
-        scenario.play();
-        ++played;
+        scenario.run();
+        ++ran;
     }
-    if (played > 0)
+    if (ran > 0)
         return 0;
     fmt::print(stderr, "usage: closing_test quiesce|handover|shutdown [scenario]\n");
     return 2;
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -1,6 +1,6 @@
-// The paths on which something ends: a client, a request, an attempt, a connection, the process. Each test
-// forces its crossing (a stand-in holds back, half-writes, resets, or closes on the test's word) and looks at
-// what was still owed at that instant. The list of the paths: docs/design/endings.md.
+// Races at the end of a client connection, a request, an attempt, a node connection or the process. Each test
+// forces one race with a fake peer that delays, writes partially, resets or closes on command, and checks
+// that everything open at that moment is still handled.
 #include "helper.hpp"
 
 using namespace test;
@@ -30,27 +30,28 @@
     bool set_ = false;
 };
 
-std::string with(std::string settings, const std::string &from, const std::string &to) {
+std::string replaced(std::string settings, const std::string &from, const std::string &to) {
     const auto at = settings.find(from);
     assert(at != std::string::npos);
     return settings.replace(at, from.size(), to);
 }
-const std::string kLate = with(kSettings, R"("connect_timeout":250.0)", R"("connect_timeout":4000.0)");
+const std::string kLongConnectTimeout =
+    replaced(kSettings, R"("connect_timeout":250.0)", R"("connect_timeout":4000.0)");
 
-// A node whose connections come up only once it is let: until then its queue is full, and what knocks is not
-// heard. Then it serves, and keeps what it took.
+// A node that accepts connections only after open(): until then its backlog is full, so that connection
+// attempts stay pending. Afterwards it serves, and records what it received.
 class LateNode {
 public:
-    explicit LateNode(bool shut) {
+    explicit LateNode(bool backlog_full) {
         fd_ = ::socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in where = local(0);
         assert(::bind(fd_, reinterpret_cast<sockaddr *>(&where), sizeof where) == 0);
         socklen_t size = sizeof where;
         getsockname(fd_, reinterpret_cast<sockaddr *>(&where), &size);
         port = ntohs(where.sin_port);
-        ::listen(fd_, shut ? 0 : 64);
-        if (shut)
-            fill();
+        ::listen(fd_, backlog_full ? 0 : 64);
+        if (backlog_full)
+            fill_backlog();
     }
     ~LateNode() {
         ::shutdown(fd_, SHUT_RDWR);
@@ -62,14 +63,14 @@
             thread.join();
         ::close(fd_);
     }
-    // Takes one connection, reads one command on it, hears nobody else from then on, and ends it.
+    // Accepts one connection, reads one command on it, accepts no others from then on, and resets it.
     void break_one() {
         Socket s(::accept(fd_, nullptr, nullptr));
         const auto command = s.value();
         assert(command);
         ::listen(fd_, 0);
-        fill();
-        took(*command);
+        fill_backlog();
+        record(*command);
         s.reset();
     }
     void open() {
@@ -82,18 +83,18 @@
         accepting_ = std::thread([this] {
             for (int fd; (fd = ::accept(fd_, nullptr, nullptr)) >= 0;) {
                 const std::lock_guard lock(mutex_);
-                ++came_up;
+                ++accepted;
                 Socket &s = sockets_.emplace_back(fd);
                 threads_.emplace_back([this, &s] {
                     while (const auto command = s.value()) {
-                        took(*command);
+                        record(*command);
                         s.send(RespNode::served("v"));
                     }
                 });
             }
         });
     }
-    std::vector<std::string> taken() { // pieces
+    std::vector<std::string> taken() { // the piece of each request
         const std::lock_guard lock(mutex_);
         return taken_;
     }
@@ -102,10 +103,10 @@
         assert(changed_.wait_for(lock, 15s, [&] { return taken_.size() >= number; }));
     }
     int port = 0;
-    std::atomic<int> came_up = 0;
+    std::atomic<int> accepted = 0;
 
 private:
-    void fill() { // until a connection does not come up at once
+    void fill_backlog() { // until a connection attempt stays pending
         for (int n = 0; n < 8; ++n) {
             const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
             fillers_.emplace_back(fd);
@@ -117,7 +118,7 @@
         }
         assert(!"its queue does not fill");
     }
-    void took(const resp::Value &command) {
+    void record(const resp::Value &command) {
         const std::lock_guard lock(mutex_);
         taken_.push_back(command.elements[1].text);
         changed_.notify_all();
@@ -131,12 +132,12 @@
     std::thread accepting_;
 };
 
-// A node that holds back every answer until it is let.
+// A node that holds back all answers until `release` is set.
 class HeldNode {
 public:
     HeldNode()
         : node([this](const auto &, int) {
-              go.await();
+              release.await();
               return RespNode::served("v");
           }) {}
     void await_taken(std::size_t number) const {
@@ -144,26 +145,26 @@
             std::this_thread::sleep_for(10ms);
         assert(node.taken().size() >= number);
     }
-    Flag go;
+    Flag release;
     RespNode node;
 };
 
-void await_open(const Program &program, long number) { // requests that owe an answer
+void await_open(const Program &program, long number) { // number of unanswered requests
     for (int n = 0; n < 1500 && program.figures().at("current") != number; ++n)
         std::this_thread::sleep_for(10ms);
     assert(program.figures().at("current") == number);
 }
 
-// ---- A client goes while its request waits ----
+// ---- A client disconnects while its request is queued ----
 
-// What a client does before it goes, behind a request that waits: its end stands behind all that, and must be
-// seen all the same.
-void a_client_that_goes_is_seen(const std::string &what, const std::string &behind) {
-    fmt::print("{}\n", what);
+// A client sends `behind` after a queued request and disconnects. The disconnect has to be noticed although
+// it follows unread bytes.
+void a_client_that_goes_is_seen(const std::string &description, const std::string &behind) {
+    fmt::print("{}\n", description);
     HeldNode held;
     const Discovery discovery(member("s-1", held.node.server.port, 0));
     const Program program(discovery);
-    // As many as a node is given at first; what comes then waits.
+    // As many requests as a node gets at first; later ones are queued.
     Socket one = program.client(), two = program.client();
     one.send(get(kOther, 0, 6000));
     two.send(get(kOther, 0, 6000));
@@ -174,10 +175,10 @@
         await_open(program, 3);
         client.send(behind);
     }
-    const auto gone = Clock::now();
+    const auto disconnected = Clock::now();
     await_open(program, 2);
-    assert(Clock::now() - gone < 1s); // it would wait 1.8 s for its turn
-    held.go.set();
+    assert(Clock::now() - disconnected < 1s); // otherwise it stays queued for 1.8 s
+    held.release.set();
     assert(one.value()->text == "v" && two.value()->text == "v");
     one.send(get(kOther));
     assert(one.value()->text == "v");
@@ -204,11 +205,11 @@
 
 // ---- Between the decision and the first byte ----
 
-// The request of a client that has gone is not written when its connection comes up.
+// The request of a disconnected client is not sent once the connection to the node is established.
 void a_client_goes_while_the_connection_comes_up() {
     LateNode node(true);
     const Discovery discovery(member("s-1", node.port, 0));
-    const Program program(discovery, "", kLate);
+    const Program program(discovery, "", kLongConnectTimeout);
     {
         Socket client = program.client();
         client.send(get(kPiece, 0, 6000));
@@ -216,53 +217,54 @@
     }
     await_open(program, 0);
     node.open();
-    while (node.came_up == 0)
+    while (node.accepted == 0)
         std::this_thread::sleep_for(5ms);
     Socket client = program.client();
     client.send(get(kOther, 0, 6000));
     assert(client.value()->text == "v" && node.taken() == std::vector<std::string>{kOther});
 }
 
-// Nor is one whose node is announced as leaving by then.
+// A request is not sent if its node is announced as draining while the connection to it is being established.
 void a_node_drains_while_its_connection_comes_up() {
     LateNode node(true);
     const std::string up = member("s-1", node.port, 0);
     Discovery discovery(up);
-    const Program program(discovery, "", kLate);
+    const Program program(discovery, "", kLongConnectTimeout);
     Socket client = program.client();
     client.send(get(kPiece, 0, 6000));
     await_open(program, 1);
     discovery.change(member("s-1", node.port, 0, "draining"));
     discovery.await_taken();
     node.open();
-    assert(client.value()->text.starts_with("BUSY") && node.came_up > 0 && node.taken().empty());
+    assert(client.value()->text.starts_with("BUSY") && node.accepted > 0 && node.taken().empty());
     discovery.change(up);
     discovery.await_taken();
     client.send(get(kOther, 0, 6000));
     assert(client.value()->text == "v" && node.taken() == std::vector<std::string>{kOther});
 }
 
-// A keyed write that may have run is repeated while its repeats are dropped, and no later: not when the
-// connection for it comes up only then.
+// A write with an idempotency key that may have run is retried only within the deduplication window, also
+// when the connection for the retry is established only afterwards.
 void a_window_for_repeats_ends_while_the_connection_comes_up() {
     LateNode node(false);
     const Discovery discovery(member("s-1", node.port, 0));
-    const Program program(discovery, "", with(kLate, R"("dedup_window":4000.0)", R"("dedup_window":400.0)"));
+    const Program program(
+        discovery, "", replaced(kLongConnectTimeout, R"("dedup_window":4000.0)", R"("dedup_window":400.0)"));
     Socket client = program.client();
     client.send(put(kPiece, "body", 0, 5000));
     node.break_one();
-    std::this_thread::sleep_for(450ms); // the window
+    std::this_thread::sleep_for(450ms); // the deduplication window
     node.open();
-    while (node.came_up == 0)
+    while (node.accepted == 0)
         std::this_thread::sleep_for(5ms);
     assert(client.value()->text == "ERR failed" && node.taken().size() == 1);
 }
 
-// The same where the connection comes up in time: the write is repeated.
+// If the connection is established within the deduplication window, the write is retried.
 void a_repeat_within_its_window_is_sent() {
     LateNode node(false);
     const Discovery discovery(member("s-1", node.port, 0));
-    const Program program(discovery, "", kLate);
+    const Program program(discovery, "", kLongConnectTimeout);
     Socket client = program.client();
     client.send(put(kPiece, "body", 0, 5000));
     node.break_one();
@@ -270,12 +272,12 @@
     assert(client.value()->text == "v" && node.taken().size() == 2);
 }
 
-// A client that goes while its first attempt is out gets no second one.
+// No second attempt is made for a client that disconnects during the first.
 void a_client_goes_before_the_second_attempt() {
-    Flag gone;
+    Flag disconnected;
     RespNode node([&](const auto &words, int nth) {
         if (words[1] == kPiece && nth == 1) {
-            gone.await();
+            disconnected.await();
             return std::string("-ERR failed\r\n");
         }
         return RespNode::served("v");
@@ -289,16 +291,16 @@
             std::this_thread::sleep_for(5ms);
     }
     await_open(program, 0);
-    gone.set();
+    disconnected.set();
     Socket client = program.client();
     client.send(get(kOther));
     assert(client.value()->text == "v");
-    std::this_thread::sleep_for(100ms); // five times the pause before a repeat
+    std::this_thread::sleep_for(100ms); // five times the delay before a retry
     assert(node.taken().size() == 2);
 }
 
-// A node answers twice, the second time some milliseconds late, while the next request is there already: what
-// comes late is nobody's answer.
+// A node answers twice, the second time some milliseconds later, when it may have the next request already.
+// The second answer must not be taken for that request's.
 void a_second_answer_that_comes_late_is_nobodys() {
     Server node([](Socket &s) {
         while (const auto command = s.value()) {
@@ -307,7 +309,7 @@
             const auto sent = Clock::now();
             std::this_thread::sleep_for(4ms);
             if (Clock::now() - sent < 7ms)
-                s.send(answer); // later is another matter: the machine is busy
+                s.send(answer); // skipped if the machine was too busy to keep the delay
         }
     });
     const Discovery discovery(member("s-1", node.port, 0));
@@ -322,19 +324,19 @@
 
 // ---- The end of a connection ----
 
-// A message that does not come whole ends the connection; an answer that is being written then comes whole.
+// A message that is not completed ends the connection, but an answer that is being written then is completed
+// first.
 void an_answer_is_written_whole_before_a_connection_ends() {
     const std::string value(3'000'000, 'v');
     RespNode node([&](const auto &, int) { return RespNode::served(value); });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
     Socket client = program.client();
-    client.send(get(kPiece) + get(kPiece) +
-                get(kPiece)); // more than the system holds for one that does not read
+    client.send(get(kPiece) + get(kPiece) + get(kPiece)); // more than the socket buffers hold
     while (client.in.empty())
         client.more();
-    client.send("*4\r\n$7\r\nOBJ.GET\r\n$16\r\n7f3a"); // and no more of it
-    std::this_thread::sleep_for(3s);                   // past the time for it, the answer not read yet
+    client.send("*4\r\n$7\r\nOBJ.GET\r\n$16\r\n7f3a"); // the rest is never sent
+    std::this_thread::sleep_for(3s); // past the message timeout, with the answers still unread
     for (int n = 0; n < 3; ++n) {
         const auto answer = client.value();
         assert(answer && answer->text == value);
@@ -342,7 +344,8 @@
     assert(client.value()->text.starts_with("ERR Protocol error") && client.ended());
 }
 
-// The last answers stand before the end even where more has come behind them than anybody reads.
+// The last answers arrive before the end of the connection even if the client sent more bytes than the broker
+// reads.
 void unread_bytes_do_not_take_the_last_answer() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -358,8 +361,8 @@
 
 // ---- The end of the process ----
 
-// Connections that wait to be accepted in the moment in which the last ones are let go, each with a request
-// written: taken, and answered. The process is held over that moment.
+// Connections with a written request that are in the backlog when the last open ones are closed: they are
+// accepted and answered. The process is stopped over that moment.
 void requests_in_the_queue_at_the_end_are_answered() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -367,7 +370,7 @@
     Socket first = program.client();
     first.send(get(kPiece));
     assert(first.value()->text == "v");
-    const auto from = Clock::now(); // connections are let go 2.65 s later, the end comes 3.05 s later
+    const auto from = Clock::now(); // closes connections after 2.65 s and exits after 3.05 s
     program.signal(SIGTERM);
     std::this_thread::sleep_until(from + 2300ms);
     program.signal(SIGSTOP);
@@ -395,13 +398,13 @@
     return number;
 }
 
-// Clients fill their part of the descriptors, some idle, some with a part of a message, while discovery is
-// down: its connection and the nodes' still come up, and whoever asks is served.
+// Clients use up their share of the descriptors, some idle, some with a partial message, while discovery is
+// down. Connections to discovery and nodes are still established, and new requests are served.
 void full_descriptors_leave_room_for_discovery_and_nodes() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     std::optional<Discovery> discovery(std::in_place, member("s-1", node.server.port, 0));
     const int port = discovery->port();
-    const Program program(*discovery); // told of 256 descriptors
+    const Program program(*discovery); // configured with 256 descriptors
     discovery.reset();
     std::list<Socket> crowd;
     for (int n = 0; n < 500; ++n) {
@@ -421,29 +424,29 @@
 
 // ---- The start ----
 
-// The address is still held by the process before: the start waits for it.
+// Another process still uses the address: the start waits for it.
 void a_start_waits_for_its_address() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    const Program other(discovery); // for its folder and configuration
+    const Program other(discovery); // provides a directory and a configuration
     std::optional<Server> holder(std::in_place, [](Socket &) {});
     std::ifstream file(other.path("config.json"));
     std::string config((std::istreambuf_iterator<char>(file)), {});
-    for (const int port : {other.port, other.control}) // an address of its own, which is held
-        config = with(config, fmt::format("127.0.0.1:{}", port),
-                      fmt::format("127.0.0.1:{}", port == other.port ? holder->port : free_port()));
+    for (const int port : {other.port, other.control}) // replaces its address by one in use
+        config = replaced(config, fmt::format("127.0.0.1:{}", port),
+                          fmt::format("127.0.0.1:{}", port == other.port ? holder->port : free_port()));
     other.write("held.json", config);
-    std::filesystem::create_directory(other.path("its-own")); // else it would take over
+    std::filesystem::create_directory(other.path("its-own")); // otherwise it would start a hot restart
     Child child;
     child.start({"--config", other.path("held.json")}, other.path("held.log"), other.path("its-own"), 0);
-    const auto said = [&] {
+    const auto logged = [&] {
         std::ostringstream text;
         text << std::ifstream(other.path("held.log")).rdbuf();
         return text.str().find("is held by another process") != std::string::npos;
     };
-    for (int n = 0; n < 500 && !said(); ++n)
+    for (int n = 0; n < 500 && !logged(); ++n)
         std::this_thread::sleep_for(10ms);
-    assert(said());
+    assert(logged());
     const int port = holder->port;
     holder.reset();
     for (int n = 0; n < 500; ++n, std::this_thread::sleep_for(10ms)) {
@@ -459,24 +462,24 @@
     assert(!"it does not serve");
 }
 
-// A broker is ready whatever discovery does: it is not there, says nothing, or fails.
+// A broker becomes ready even if discovery is unreachable, does not answer, or fails.
 void a_start_does_not_wait_for_discovery() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const std::string up = member("s-1", node.server.port, 0);
-    for (const std::string how : {"gone", "silent", "failing"}) {
+    for (const std::string behaviour : {"gone", "silent", "failing"}) {
         std::optional<Discovery> discovery(std::in_place, up);
-        discovery->silence(how == "silent");
-        discovery->failures = how == "failing" ? 1000 : 0;
-        const Discovery *told = &*discovery;
-        struct Gone {
+        discovery->silence(behaviour == "silent");
+        discovery->failures = behaviour == "failing" ? 1000 : 0;
+        const Discovery *known = &*discovery;
+        struct Unreachable {
             int at;
             std::string list;
             int port() const { return at; }
             std::string known() const { return list; }
-        } const gone{free_port(), discovery->known()};
+        } const unreachable{free_port(), discovery->known()};
         const auto from = Clock::now();
         const auto program =
-            how == "gone" ? std::make_unique<Program>(gone) : std::make_unique<Program>(*told);
+            behaviour == "gone" ? std::make_unique<Program>(unreachable) : std::make_unique<Program>(*known);
         assert(Clock::now() - from < 5s);
         Socket client = program->client();
         client.send(get(kPiece));
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -1,4 +1,4 @@
-// The program over RESP2: as clients, nodes and discovery meet it.
+// End-to-end tests of the program over RESP2 with clients, nodes and discovery.
 #include "helper.hpp"
 
 using namespace test;
@@ -23,7 +23,7 @@
            taken[0][3].ends_with(",volume=00000003b4d60021,units=2,shard=0,hosts=1"));
     assert(taken[1][3].find(",k=5c0f6e1a2b3d4c59,") != std::string::npos);
     assert(taken[1][4] == std::string(64 * 1024, 'x'));
-    assert(node.server.accepted == 1); // the connection is used again
+    assert(node.server.accepted == 1); // the connection is reused
 }
 
 void pipelined_answers_keep_their_order() {
@@ -41,8 +41,8 @@
     assert(client.value()->text == "PONG");
 }
 
-// Guards against a reset on a connection that the node had closed meanwhile: the request would count as one
-// that may have run.
+// Guards against sending a request on a connection that the node has closed: it would be reset, and the
+// request would count as one that may have run.
 void a_connection_closed_by_the_node_is_not_used() {
     std::atomic<int> answered = 0;
     Server node([&](Socket &s) {
@@ -62,8 +62,8 @@
     }
 }
 
-// A write whose connection broke after its last byte may have run: it goes out again with its key, as its
-// class allows, and is answered once.
+// A write whose connection broke after its last byte may have run: it is retried with its idempotency key, as
+// its class allows, and answered once.
 void a_broken_write_is_repeated_with_its_key() {
     RespNode node([](const auto &, int nth) { return nth == 1 ? "" : RespNode::served("kept"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -76,8 +76,8 @@
     assert(client.silent_for(200));
 }
 
-// What is given up is answered at once, and says when to come back: a read may be refused, a write that may
-// have run fails.
+// A request without further attempts is answered at once: a read is refused with the time after which to
+// retry, a write that may have run fails.
 void given_up_requests_are_refused_or_failed() {
     RespNode node([](const auto &, int) { return "-ERR failed used=37\r\n"; });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -86,13 +86,14 @@
     client.send(get(kPiece));
     const auto refused = client.value();
     assert(refused->kind == resp::Value::Kind::Error && refused->text.starts_with("BUSY "));
-    const int hint = std::atoi(refused->text.c_str() + 5);
-    assert(hint > 0 && hint <= 500 && node.taken().size() == 4); // as many attempts as the settings allow
+    const int retry_after = std::atoi(refused->text.c_str() + 5);
+    // As many attempts as the settings allow.
+    assert(retry_after > 0 && retry_after <= 500 && node.taken().size() == 4);
     client.send(put(kPiece, "body"));
     assert(client.value()->text == "ERR failed" && node.taken().size() == 8);
 }
 
-// Guards against work held unsent until the client has no time left for anything else.
+// Guards against keeping unsent requests until the client has no time left to try elsewhere.
 void unsent_work_is_refused_in_time_for_another_try() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -146,14 +147,15 @@
          {resp::command({"FLUSHALL"}), resp::command({"OBJ.GET", "xyz", "i", "c=read"}),
           resp::command({"OBJ.GET", kPiece, "i", "c=unheard,t=standard,d=5,volume=00000003b4d60021"}),
           resp::command({"OBJ.GET", kPiece, "i", "c=read,t=standard,d=-5"})}) {
-        client.send(bad); // understood, and refused as it stands: the connection goes on
+        client.send(bad); // well-formed but invalid: the connection stays open
         assert(client.value()->text.starts_with("ERR "));
     }
     client.send("*1\r\n$4\r\nPING\r\n");
     assert(client.value()->text == "PONG" && program.running());
 }
 
-// A malformed answer of a node is no answer: the attempt may have run, and the broker lives.
+// A malformed answer of a node does not count as an answer: the attempt may have run. The broker keeps
+// running.
 void a_malformed_answer_is_not_guessed_at() {
     RespNode node([](const auto &, int nth) { return nth < 3 ? "?what\r\n" : RespNode::served("right"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -182,8 +184,8 @@
     assert(v && v->text == "v" && program.running());
 }
 
-// A planned end: new connections are still served for a while, all that was taken is answered, and idle
-// connections end between requests.
+// Shutdown: new connections are still served for a while, all requests received are answered, and idle
+// connections are closed between requests.
 void a_planned_end_answers_all_it_took() {
     RespNode node([](const auto &, int) {
         std::this_thread::sleep_for(600ms);
@@ -204,8 +206,8 @@
     assert(program.exit_code() == 0);
 }
 
-// Guards against an end as soon as no new connection comes: clients go on using those they have, and what
-// they ask then would find nobody.
+// Guards against exiting as soon as no new connections arrive: clients keep using their open ones, and
+// requests on these would be lost.
 void a_planned_end_serves_the_connections_in_use() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -218,9 +220,9 @@
     assert(program.exit_code() == 0);
 }
 
-// Clients can't come anew to a broker that is ending: what connections they have are kept, idle or not, and
-// served until shortly before the end may be forced (here 3.2 s after SIGTERM); what is taken last has its
-// answer by then.
+// Clients cannot reconnect to a broker that shuts down: their connections, idle or not, are kept and served
+// until shortly before the process may be killed (here 3.2 s after SIGTERM). The last request received is
+// answered by then.
 void a_planned_end_serves_until_it_may_be_forced() {
     RespNode node([](const auto &words, int) {
         if (words[1] == "00000000000000aa")
@@ -244,7 +246,7 @@
     std::this_thread::sleep_until(from + 2200ms);
     idle.send(get(kPiece));
     assert(idle.value()->text == "v");
-    last.send(get("00000000000000aa", 0, 1500)); // it would wait until 3.7 s
+    last.send(get("00000000000000aa", 0, 1500)); // otherwise it would wait until 3.7 s
     const auto answer = last.value();
     assert(answer && answer->text.starts_with("BUSY"));
     assert(idle.ended() && busy.ended() && last.ended() && program.exit_code() == 0);
@@ -254,7 +256,7 @@
 void more_clients_than_sockets_are_survived() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    const Program program(discovery); // told of 256 descriptors
+    const Program program(discovery); // configured with 256 descriptors
     std::list<Socket> crowd;
     for (int n = 0; n < 400; ++n)
         crowd.push_back(program.client());
@@ -263,8 +265,8 @@
     assert(client.value()->text == "v" && program.running());
 }
 
-// Guards against the end that SIGHUP means by default, against a broker that still hears the discovery it was
-// told to leave, and against a request or connection lost on the way.
+// Guards against the default action of SIGHUP, which ends the process, against a broker that still follows
+// the former discovery, and against requests or connections lost by the reload.
 void a_reload_moves_to_another_discovery() {
     RespNode node([](const auto &, int) {
         std::this_thread::sleep_for(300ms);
@@ -284,12 +286,12 @@
         std::this_thread::sleep_for(10ms); // the whole list, then a watch
     client.send(get(kPiece, 1));
     assert(client.value()->text == "second");
-    before.change(member("s-2", next.server.port, 1, "draining")); // not heard any more
+    before.change(member("s-2", next.server.port, 1, "draining")); // ignored now
     std::this_thread::sleep_for(100ms);
     client.send(get(kPiece, 1));
     assert(client.value()->text == "second" && node.taken().size() == 1);
 
-    // A file that is wrong in any part is not taken, and the log names the field.
+    // A file with any error is rejected as a whole, and the log names the field.
     const int wholes = after.wholes;
     program.write("config.json", R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1",)"
                                  R"("settings":{"instances":"many"}})");
@@ -299,8 +301,8 @@
     assert(client.value()->text == "second" && after.wholes == wholes && program.running());
 }
 
-// Guards against clients that hold connections and parts of messages: each gets an error or an end in time,
-// and what all of them send is held within the memory.
+// Guards against clients that keep connections idle or with partial messages: each gets an error or is closed
+// in time, and the memory for all their input is bounded.
 void silent_and_half_messages_get_an_end() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -319,7 +321,7 @@
         assert(s->ended());
     assert(std::chrono::steady_clock::now() - from < 3s);
 
-    std::list<Socket> crowd; // 9 MB of parts; a quarter of 16 MB is for what is held
+    std::list<Socket> crowd; // 9 MB of partial messages; the budget is a quarter of 16 MB
     for (int n = 0; n < 150; ++n) {
         crowd.push_back(program.client());
         crowd.back().send("*5\r\n$7\r\nOBJ.PUT\r\n$60000\r\n");
@@ -331,7 +333,7 @@
     assert(refused >= 40 && program.running());
 }
 
-// A message in pieces is read once; the work must not grow with the square of their number.
+// A message that arrives in pieces is parsed once: the work must not be quadratic in their number.
 void a_message_may_come_byte_by_byte() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -342,8 +344,8 @@
     assert(client.value()->text == "v" && node.taken()[0][4] == "body\r\n");
 }
 
-// Guards against a client that writes slowly being cut off, or given less time than it waits: that counts
-// from its last byte.
+// Guards against closing the connection of a client that writes slowly, and against counting the time of the
+// write towards the request's timeout, which starts at the last byte.
 void a_request_may_be_written_slowly() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -354,11 +356,11 @@
     std::this_thread::sleep_for(2200ms);
     client.send(command.substr(20));
     assert(client.value()->text == "v");
-    const std::string told = node.taken()[0][3];
-    assert(std::atoi(told.c_str() + told.find(",d=") + 3) > 500);
+    const std::string arguments = node.taken()[0][3];
+    assert(std::atoi(arguments.c_str() + arguments.find(",d=") + 3) > 500);
 }
 
-// Guards against two requests out under one id: a node takes the second for a repeat of the first.
+// Guards against two open requests with one id: a node would take the second for a retry of the first.
 void the_id_of_an_open_request_is_refused() {
     RespNode node([](const auto &, int) {
         std::this_thread::sleep_for(200ms);
@@ -372,23 +374,23 @@
     thief.send(get(kPiece, 0, 1500, kId));
     assert(thief.value()->text.starts_with("ERR "));
     assert(client.value()->text == "mine" && node.taken().size() == 1);
-    thief.send(get(kPiece, 0, 1500, kId)); // it is free again
+    thief.send(get(kPiece, 0, 1500, kId)); // the id may be used again
     assert(thief.value()->text == "mine");
 }
 
-// What a node spoils is never passed on, nor waited for until the client's time is up; a whole value stands
-// whatever follows; and a connection on which more came than belongs there is not used again.
+// A malformed answer of a node is never sent to the client, nor waited on until the request's timeout; a
+// complete value is valid whatever follows it; and a connection with excess bytes is not reused.
 void spoilt_answers_are_told_from_good_ones() {
     const std::string good = RespNode::served("right");
-    for (const std::string &spoilt :
+    for (const std::string &malformed :
          {std::string("*3\r\n$500\r\nshort"), std::string("*3\r\n$3000000000\r\nx"),
           std::string("*3\r\n$2\r\nwrong\r\n$-1\r\n$-1\r\n"), std::string("+OK\r\n"),
           std::string("-BUSYBODY\r\n"), std::string(5000, '-'), std::string(":7\r\n")}) {
-        RespNode node([&](const auto &, int nth) { return nth == 9 ? spoilt : good; });
+        RespNode node([&](const auto &, int nth) { return nth == 9 ? malformed : good; });
         const Discovery discovery(member("s-1", node.server.port, 0));
         const Program program(discovery);
         Socket client = program.client();
-        for (int n = 0; n < 8; ++n) { // a node known to be quick: the repeat is worth its while
+        for (int n = 0; n < 8; ++n) { // the node becomes known as fast, so that a retry is worthwhile
             client.send(get(kPiece));
             assert(client.value()->text == "right" && node.server.accepted == 1);
         }
@@ -397,11 +399,11 @@
         assert(client.value()->text == "right" && node.server.accepted == 2);
         assert(std::chrono::steady_clock::now() - from < 1s);
     }
-    for (const std::string &more :
+    for (const std::string &excess :
          {good + RespNode::served("a second copy"), good + "noise",
           std::string("*3\r\n$5\r\nright\r\n$-9\r\n"), std::string("*3\r\n$5\r\nright\r\n$9\r\nused"),
           std::string("*3\r\n$5\r\nright\r\n$6\r\nused=x\r\n$1\r\n?\r\n")}) {
-        RespNode node([&](const auto &, int) { return more; });
+        RespNode node([&](const auto &, int) { return excess; });
         const Discovery discovery(member("s-1", node.server.port, 0));
         const Program program(discovery);
         Socket client = program.client();
@@ -412,7 +414,7 @@
     }
 }
 
-// Guards against good answers taken for spoilt: nodes serve values past 64 KiB, in pieces.
+// Guards against rejecting valid answers: nodes serve values above 64 KiB in pieces.
 void long_values_come_whole() {
     const std::string value(400'000, 'v');
     RespNode node([&](const auto &, int) { return RespNode::served(value); });
@@ -423,7 +425,7 @@
     assert(client.value()->text == value && node.taken().size() == 1);
 }
 
-// Guards against memory that grows with every node that ever was.
+// Guards against memory that grows with every node that was ever listed.
 void nodes_that_are_gone_are_forgotten() {
     Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -442,35 +444,35 @@
     assert(program.memory_kb() < early + 2 * 1024);
 }
 
-// Guards against clients that ask once and stay: clients hold a bounded number of connections, and would have
-// none left to ask on. Those in use stay.
+// Guards against clients that send one request and stay connected: the number of client connections is
+// bounded, so others could not connect. Connections in use stay open.
 void those_who_asked_once_make_room() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    const Program program(discovery); // told of 256 descriptors, of which clients hold 85 for requests
-    std::list<Socket> stay;
+    const Program program(discovery); // with 256 descriptors, clients may keep 85 after a request
+    std::list<Socket> idle;
     Socket busy = program.client();
     for (int n = 0; n < 100; ++n) {
-        stay.push_back(program.client());
-        for (Socket *s : {&stay.back(), &busy}) {
+        idle.push_back(program.client());
+        for (Socket *s : {&idle.back(), &busy}) {
             s->send(get(kPiece));
             assert(s->value()->text == "v");
         }
     }
-    int left = 0;
-    for (Socket &s : stay)
-        left += s.silent_for(0);
-    assert(left >= 50 && left < 85);
+    int open = 0;
+    for (Socket &s : idle)
+        open += s.silent_for(0);
+    assert(open >= 50 && open < 85);
     busy.send(get(kPiece));
     assert(busy.value()->text == "v");
 }
 
-// Guards against room made by closing a client that has just come, its first request unread, when all others
-// have asked before.
+// Guards against closing a new connection, whose first request is unread, to make room when all others have
+// sent a request before.
 void newcomers_are_not_closed_for_each_other() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    const Program program(discovery); // told of 256 descriptors: room for 152 clients
+    const Program program(discovery); // 256 descriptors: room for 152 clients
     std::list<Socket> crowd, newcomers;
     for (int n = 0; n < 160; ++n) {
         crowd.push_back(program.client());
