--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -396,8 +396,7 @@
             set<std::uint32_t>(page, 536,
                                0x00100001); // SGLs, with offsets for in-capsule data
             page.replace(768, mapping_.subsystem.size(), mapping_.subsystem);
-            set<std::uint32_t>(page, 1792,
-                               4); // I/O command capsule: 4 x 16 bytes, no data
+            set<std::uint32_t>(page, 1792, 4); // capsule of an I/O command: 64 bytes, no data
             set<std::uint32_t>(page, 1796, 1);
         } else if (structure == 0x00) {
             const auto ns = mapping_.namespaces.find(c.nsid());
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -16,10 +16,9 @@
 constexpr Micros kWriteTimeout = 10'000'000;       // for a client to read the bytes of one write
 constexpr Micros kLingerTimeout = 200'000; // for a client to close after the sending side was shut down
 constexpr std::size_t kMaxTransferredBytes =
-    std::size_t{48} * 1024;         // of a partial message handed over to another process
-constexpr int kMaxReadsPerTurn = 8; // of a closing connection, before the event loop serves others
-constexpr int kDiscardReadsPerPause =
-    8; // of discarded input; also the limit after the sending side is shut down
+    std::size_t{48} * 1024;              // of a partial message handed over to another process
+constexpr int kMaxReadsPerTurn = 8;      // of a closing connection, before the event loop serves others
+constexpr int kDiscardReadsPerPause = 8; // also the limit after the sending side is shut down
 constexpr Micros kDiscardPause = 10'000; // so that a flooding client cannot take all processor time
 constexpr std::size_t kMaxReadAheadBytes =
     std::size_t{64} * 1024; // of a connection at its request limit, so that its end is noticed
@@ -279,8 +278,8 @@
     client_.notify();
 }
 
-// Suspends reading, so that a client that sends invalid commands in a loop does not take the processor time
-// of all others.
+// Suspends reading, so that a client that floods its connection or sends invalid commands in a loop does not
+// take the processor time of all others.
 asio::awaitable<void> Session::pause(Micros duration, bool until_below_limit) {
     bool elapsed = false;
     const auto entry = deadlines_.in(duration, [&] {
