--- a/src/app/client_servers.hpp
+++ b/src/app/client_servers.hpp
@@ -49,7 +49,7 @@
     const core::FrontEndServices &services_;
     const net::nvme::Mapping &nvme_mapping_;
     net::ClientFigures metrics_;
-    net::resp::OpenIds open_ids_;
+    net::resp::OpenRequestIds open_ids_;
     net::Clients resp_;
     net::nvme::Controllers nvme_controllers_;
     std::optional<net::Clients> nvme_;
--- a/src/app/process_handover.cpp
+++ b/src/app/process_handover.cpp
@@ -17,7 +17,9 @@
     hooks.release_state = [this] { return release_state(); };
     hooks.hand_over_clients = [this] { hand_over_clients(); };
     hooks.resume = [this] { resume(); };
-    hooks.adopt_client = [this](net::Passed client) { parts_.clients.resp().adopt(std::move(client)); };
+    hooks.adopt_client = [this](net::HandedOverClient client) {
+        parts_.clients.resp().adopt(std::move(client));
+    };
     hooks.parent_exited = [this] { share_limits(false, 0); };
     hooks.set_cordoned = actions_.cordon;
     hooks.set_quiesced = actions_.quiesce;
@@ -74,7 +76,7 @@
 
 void ProcessHandover::hand_over_clients() {
     parts_.clients.resp().hand_over(
-        [this](net::Passed client) { hot_restart_->send_client(std::move(client)); });
+        [this](net::HandedOverClient client) { hot_restart_->send_client(std::move(client)); });
 }
 
 /// The successor has gone.
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -145,7 +145,7 @@
         parent_->send(encode(quiesced ? MessageType::Quiesce : MessageType::Resume));
 }
 
-void HotRestart::send_client(net::Passed client) {
+void HotRestart::send_client(net::HandedOverClient client) {
     if (successor_)
         successor_->send(encode_client(std::move(client)));
 }
--- a/src/hot_restart/hot_restart.hpp
+++ b/src/hot_restart/hot_restart.hpp
@@ -31,7 +31,8 @@
     std::function<ParentState()> release_state; ///< stops accepting
     std::function<void()> hand_over_clients;    ///< begins to pass clients to send_client()
     std::function<void()> resume;               ///< the successor has ended: all is this process's again
-    std::function<void(net::Passed client)> adopt_client; ///< a client of the parent, or one not handed over
+    std::function<void(net::HandedOverClient client)>
+        adopt_client; ///< a client of the parent, or one not handed over
     std::function<void()> parent_exited;
     /// Orders of operators, received by the successor.
     std::function<void(const std::string &id, bool cordoned)> set_cordoned;
@@ -46,7 +47,7 @@
     /// Adopts the clients of the parent process, until it exits.
     void follow_parent(net::Descriptor channel);
     /// Hands a client's connection to the successor.
-    void send_client(net::Passed client);
+    void send_client(net::HandedOverClient client);
     /// Tells a parent process that still has requests what operators have ordered here.
     void forward_cordon(const std::string &id, bool cordoned);
     void forward_quiesce(bool quiesced);
--- a/src/hot_restart/messages.cpp
+++ b/src/hot_restart/messages.cpp
@@ -21,7 +21,7 @@
     return {static_cast<char>(type) + text, {}};
 }
 
-Packet encode_client(net::Passed client) {
+Packet encode_client(net::HandedOverClient client) {
     Packet packet =
         encode(MessageType::Client, fmt::format("{} {:d} {} ", client.front, client.asked, client.since));
     packet.bytes += client.bytes;
@@ -29,7 +29,7 @@
     return packet;
 }
 
-std::optional<net::Passed> decode_client(Packet &packet) {
+std::optional<net::HandedOverClient> decode_client(Packet &packet) {
     if (packet.descriptors.size() != 1 || type_of(packet) != MessageType::Client)
         return std::nullopt;
     int asked = 0;
@@ -41,7 +41,7 @@
     const std::size_t body = static_cast<std::size_t>(header_bytes) + 2; // behind the type and a space
     if (fields != 3 || packet.bytes.size() < body)
         return std::nullopt;
-    net::Passed client;
+    net::HandedOverClient client;
     client.front = front;
     client.asked = asked != 0;
     client.since = since;
--- a/src/hot_restart/messages.hpp
+++ b/src/hot_restart/messages.hpp
@@ -40,9 +40,9 @@
 }
 
 Packet encode(MessageType type, const std::string &text = "");
-Packet encode_client(net::Passed client);
+Packet encode_client(net::HandedOverClient client);
 /// Empty where the packet is no such message.
-std::optional<net::Passed> decode_client(Packet &packet);
+std::optional<net::HandedOverClient> decode_client(Packet &packet);
 
 /// The packets that carry a state, in their order.
 std::vector<Packet> encode_state(ParentState state);
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -129,11 +129,11 @@
             continue;
         }
         socket.set_option(tcp::no_delay(true), error);
-        admit(std::move(socket), Passed());
+        admit(std::move(socket), HandedOverClient());
     }
 }
 
-void Clients::admit(tcp::socket socket, Passed inherited) {
+void Clients::admit(tcp::socket socket, HandedOverClient inherited) {
     const Micros now = last_change_at_ = deadlines_.clock.now();
     const std::uint64_t number = ++figures_.accepted;
     const auto client = clients_.emplace(clients_.end(), std::move(socket), order_, now, number);
@@ -162,7 +162,7 @@
         resumed_.put(true);
 }
 
-void Clients::hand_over(std::function<void(Passed)> transfer) {
+void Clients::hand_over(std::function<void(HandedOverClient)> transfer) {
     transfer_ = std::move(transfer);
     for (Client &client : clients_) {
         client.transfer = transfer_;
@@ -171,7 +171,7 @@
     }
 }
 
-void Clients::adopt(Passed inherited) {
+void Clients::adopt(HandedOverClient inherited) {
     budget_.came_over();
     if (budget_.clients_full())
         evict_one();
@@ -362,7 +362,7 @@
         if (error)
             return false; // the connection was aborted, or the error is transient
         ++accepted_at_end_;
-        admit(std::move(socket), Passed());
+        admit(std::move(socket), HandedOverClient());
     }
     return false;
 }
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -18,7 +18,7 @@
 namespace marblewood::net {
 
 /// A client connection that is handed over from one process to another between two requests.
-struct Passed {
+struct HandedOverClient {
     std::string front; // name of the front end that serves it
     bool asked = false;
     Micros since = 0;  // when the first byte of `bytes` was received
@@ -77,8 +77,8 @@
     SocketBudget::Lease lease;
     bool exempt_from_idle_timeout = false; // while the broker drains, when the client could not reconnect
     std::function<void()> notify; // set by the session; called when `closing` or `transfer` has changed
-    std::function<void(Passed)> transfer; // set during a handover: gives the connection to the other process
-    Passed inherited; // the state with which the connection was handed over to this process
+    std::function<void(HandedOverClient)> transfer; // set during a handover; gives the connection away
+    HandedOverClient inherited; // the state with which the connection was handed over to this process
 
     std::optional<CloseReason> close_reason; // the first reason to close it
     Closing closing;
@@ -160,16 +160,16 @@
     void pause();
     void resume();
     /// Hands over each connection between two requests, if its front end can; an empty function ends this.
-    void hand_over(std::function<void(Passed)> transfer);
+    void hand_over(std::function<void(HandedOverClient)> transfer);
     /// Serves a connection that another process has handed over.
-    void adopt(Passed inherited);
+    void adopt(HandedOverClient inherited);
     int listener() { return acceptor_.native_handle(); }
     std::size_t open() const { return clients_.size(); }
     std::size_t closing() const; ///< number of connections that are closing and still open
 
 private:
     asio::awaitable<void> accept();
-    void admit(tcp::socket socket, Passed inherited);
+    void admit(tcp::socket socket, HandedOverClient inherited);
     asio::awaitable<void> serve(std::list<Client>::iterator client);
     bool evict_one(); // closes one to make room; false: all are in use
     // Closes the longest idle connection if too many clients stay connected after a request.
@@ -193,7 +193,7 @@
     EvictionOrder order_; // has to outlive the clients, which are its entries
     std::list<Client> clients_;
     std::function<void()> on_drained_;
-    std::function<void(Passed)> transfer_;
+    std::function<void(HandedOverClient)> transfer_;
     bool paused_ = false;
     core::Mailbox<bool> resumed_;
     std::optional<Micros> quiesced_since_;
--- a/src/net/resp/front.cpp
+++ b/src/net/resp/front.cpp
@@ -66,7 +66,7 @@
 /// A RESP2 session. Answer callbacks may outlive the connection, so they hold a weak reference to it.
 class RespSession : public Session {
 public:
-    RespSession(Client &client, core::FrontEndServices services, OpenIds &open)
+    RespSession(Client &client, core::FrontEndServices services, OpenRequestIds &open)
         : Session(client, services.deadlines, services.memory), services_(std::move(services)), open_(open) {}
 
 private:
@@ -253,7 +253,7 @@
     bool is_streaming() const override { return streaming_; }
 
     core::FrontEndServices services_;
-    OpenIds &open_;
+    OpenRequestIds &open_;
     Reader reader_;
     int invalid_commands_ = 0;    // since the last valid request
     std::size_t ready_bytes_ = 0; // in answers that wait for earlier ones
@@ -264,7 +264,7 @@
 
 } // namespace
 
-asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenIds &open) {
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenRequestIds &open) {
     const auto session = std::make_shared<RespSession>(client, std::move(services), open);
     co_await session->run();
 }
--- a/src/net/resp/front.hpp
+++ b/src/net/resp/front.hpp
@@ -12,10 +12,10 @@
 namespace marblewood::net::resp {
 
 /// The ids of the open requests of all clients.
-using OpenIds = std::unordered_set<std::string>;
+using OpenRequestIds = std::unordered_set<std::string>;
 
 /// Serves a client until its connection has ended.
-asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenIds &open);
+asio::awaitable<void> serve(Client &client, core::FrontEndServices services, OpenRequestIds &open);
 
 /// Parses an OBJ.GET or OBJ.PUT command. Throws Malformed with the reason if it is invalid.
 core::Request read_request(Value &&command, const Settings &settings);
