--- a/src/overload/datagram_fields.hpp
+++ b/src/overload/datagram_fields.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Numbers in the text datagrams that hosts exchange.
+/// Encoding and decoding of numbers in the text datagrams that hosts exchange.
 #pragma once
 
 #include <charconv>
@@ -14,13 +14,14 @@
 inline constexpr int kHexadecimal = 16;
 
 template <typename Number> void append_number(std::string &text, Number value, int base) {
-    char digits[20]; // a 64-bit number, with its sign
+    char digits[20]; // enough for a 64-bit number with its sign
     char *const end = std::to_chars(std::begin(digits), std::end(digits), value, base).ptr;
     text.append(std::begin(digits), end);
 }
 
-/// Takes a number off the front of `rest`, with the one space that may follow it. False, with `rest`
-/// unchanged, if no number that fits stands there, or something else follows it.
+/// Removes a number, and one space if it follows, from the front of `rest`. Returns false and leaves `rest`
+/// unchanged if `rest` does not begin with a number that fits into `Number`, or if the number is followed by
+/// anything other than a space or the end.
 template <typename Number> bool take_number(std::string_view &rest, Number &value, int base) {
     const char *const end = rest.data() + rest.size();
     const auto [next, error] = std::from_chars(rest.data(), end, value, base);
--- a/src/overload/quota_account.hpp
+++ b/src/overload/quota_account.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a host keeps about a volume's rate limit.
+/// The state that a host keeps for the rate limit of one volume.
 #pragma once
 
 #include "marblewood/types.hpp"
@@ -10,10 +10,10 @@
 
 namespace marblewood::overload {
 
-/// Plain state of one volume at one host; QuotaLending holds the rules that read and change it. Quantities
-/// are in units unless their comment says otherwise.
+/// Data only; the rules that read and change it are in QuotaLending. Quantities are in units unless their
+/// comment says otherwise.
 struct QuotaAccount {
-    /// Earlier than any event; differences to it don't overflow.
+    /// Earlier than any event, yet late enough that the difference to any time does not overflow.
     static constexpr Micros kLongAgo = INT64_MIN / 4;
 
     /// Units lent to another host, or borrowed from one.
@@ -27,30 +27,31 @@
         Micros sent_at = 0;
         double units = 0;
     };
-    /// Another host through which the volume's requests come.
+    /// Another host that receives requests for the volume.
     struct Peer {
         Micros last_heard_at = 0;
-        Micros next_request_at = 0; ///< not asked before then, since it lent nothing
+        Micros next_request_at = 0; ///< no request is sent to it before then, since it has lent nothing
         Micros request_backoff = 0;
     };
 
-    int hosts = 1;    ///< through which the volume's requests come
-    double rate = 0;  ///< units/s; this host's part of the plan's rate limit
+    int hosts = 1;    ///< number of hosts that receive requests for the volume
+    double rate = 0;  ///< units/s; this host's part of the plan's rate
     double burst = 0; ///< this host's part of the plan's burst
     double balance = 0;
-    Micros refilled_at = 0; ///< the balance is as of then; 0: never refilled
-    bool frozen = false;    ///< a successor has the balance: it is not refilled here, and nothing is lent
+    Micros refilled_at = 0; ///< when `balance` was last computed; 0: never
+    bool frozen = false;    ///< a successor process has taken over the balance: it is not refilled here, and
+                            ///< nothing is lent
 
     std::deque<Loan> lent;                       ///< in the order in which they expire
     std::deque<Loan> borrowed;                   ///< in the order in which they expire
     std::deque<PendingRequest> pending_requests; ///< oldest first
-    std::map<int, Peer> peers;                   ///< by index of the host
+    std::map<int, Peer> peers;                   ///< by host index
 
-    double demand = 0; ///< units/s requested of this host, averaged
+    double demand = 0; ///< units/s that clients request from this host, averaged
     Micros demand_at = 0;
     Micros last_request_at = kLongAgo;
     Micros last_registration_at = kLongAgo;
-    int last_requested_peer = -1; ///< peers are asked in turn
+    int last_requested_peer = -1; ///< host index; requests go to the peers in turn
 };
 
 } // namespace marblewood::overload
--- a/src/overload/quota_lending.cpp
+++ b/src/overload/quota_lending.cpp
@@ -9,17 +9,18 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 
-constexpr Micros kMaxLoanLifetime = 500'000; // us
-constexpr double kClockDrift = 1.05;         // rate of the lender's clock to the borrower's, at most
-constexpr Micros kClockMargin = 20'000;      // us, added to a loan's lifetime at the lender
-constexpr double kMaxLentFraction = 0.5;     // of the room in a balance, lent at once
+constexpr Micros kMaxLoanLifetime = 500'000;
+constexpr double kMaxClockSpeedRatio = 1.05; // at most, of the lender's clock to the borrower's
+constexpr Micros kLoanExpiryMargin = 20'000; // the lender adds it to a loan's lifetime
+constexpr double kMaxLentFraction = 0.5;     // of the burst, lent at any time
 
-constexpr double kDemandWindow = 1e6;         // us over which the demand is averaged
-constexpr double kDemandAheadSeconds = 0.25;  // of its demand that a host borrows for, and a lender keeps
-constexpr Micros kRequestInterval = 30'000;   // us, at least, between requests for one volume
-constexpr Micros kMinPeerBackoff = 60'000;    // us without asking a peer that lent nothing, at first
-constexpr Micros kMaxPeerBackoff = 1'000'000; // us; it doubles up to this
-constexpr Micros kRegistrationInterval = 8'000'000; // us
+constexpr double kDemandWindowMicros = 1e6; // the demand is averaged over this time
+/// A borrower requests, and a lender retains, units for its demand over this time.
+constexpr double kDemandReserveSeconds = 0.25;
+constexpr Micros kRequestInterval = 30'000;   // at least, between requests for one volume
+constexpr Micros kMinPeerBackoff = 60'000;    // initial pause between requests to a peer that lent nothing
+constexpr Micros kMaxPeerBackoff = 1'000'000; // the pause doubles up to this
+constexpr Micros kRegistrationInterval = 8'000'000;
 constexpr std::size_t kMaxPendingRequests = 16;
 
 double outstanding(const std::deque<QuotaAccount::Loan> &loans, Micros now) {
@@ -29,18 +30,19 @@
     return std::accumulate(loans.begin(), loans.end(), 0.0, add);
 }
 
-/// The balance at `now`. Lent units make room for a refill from the end of their loan on, and not before.
+/// The balance at `now`. Units on loan reduce the capacity of the balance until their loan expires.
 double balance_at(const QuotaAccount &account, Micros now) {
     if (account.frozen)
         return account.balance;
     double balance = account.balance;
-    Micros at = account.refilled_at;
+    Micros refilled_until = account.refilled_at;
     const auto refill_until = [&](Micros end) {
-        if (end <= at)
+        if (end <= refilled_until)
             return;
-        const double room = std::max(0.0, account.burst - outstanding(account.lent, at));
-        balance = std::min(balance + account.rate * static_cast<double>(end - at) / kMicrosPerSecond, room);
-        at = end;
+        const double room = std::max(0.0, account.burst - outstanding(account.lent, refilled_until));
+        balance = std::min(
+            balance + account.rate * static_cast<double>(end - refilled_until) / kMicrosPerSecond, room);
+        refilled_until = end;
     };
     for (const QuotaAccount::Loan &loan : account.lent)
         refill_until(std::min(loan.expires_at, now));
@@ -48,23 +50,24 @@
     return balance;
 }
 
-/// When a lender may count on a loan's units no longer being spent.
+/// When the lender can be sure that the borrower can no longer spend a loan's units.
 Micros lender_expiry(Micros lent_at, Micros lifetime) {
-    return lent_at + static_cast<Micros>(static_cast<double>(lifetime) * kClockDrift) + kClockMargin;
+    return lent_at + static_cast<Micros>(static_cast<double>(lifetime) * kMaxClockSpeedRatio) +
+           kLoanExpiryMargin;
 }
 
 } // namespace
 
-/// How long borrowed units may be spent, from the request on; 0 or less: nothing can be lent.
+/// How long after its request a borrower may spend the units; 0 or less: nothing can be lent.
 Micros QuotaLending::loan_lifetime(const QuotaAccount &account) const {
     if (account.rate <= 0)
         return 0;
     const auto refill_time = static_cast<Micros>((1 - kMaxLentFraction) * account.burst / account.rate *
-                                                 kMicrosPerSecond / kClockDrift);
-    return std::min(kMaxLoanLifetime, refill_time - kClockMargin);
+                                                 kMicrosPerSecond / kMaxClockSpeedRatio);
+    return std::min(kMaxLoanLifetime, refill_time - kLoanExpiryMargin);
 }
 
-/// Brings balance, loans and demand up to `now`.
+/// Refills the balance, drops expired loans and decays the demand up to `now`.
 void QuotaLending::settle(QuotaAccount &account, Micros now) {
     account.balance = balance_at(account, now);
     account.refilled_at = now;
@@ -74,13 +77,13 @@
             metrics_.units_wasted += loan.units;
         return now >= loan.expires_at;
     });
-    account.demand *= std::exp(-static_cast<double>(now - account.demand_at) / kDemandWindow);
+    account.demand *= std::exp(-static_cast<double>(now - account.demand_at) / kDemandWindowMicros);
     account.demand_at = now;
 }
 
 void QuotaLending::refill(QuotaAccount &account, double rate, double burst, int hosts, Micros now) {
     if (account.refilled_at == 0) {
-        // The balance starts empty: the process before this one may just have spent it.
+        // The balance starts empty, since the preceding process may have spent it just before.
         account.refilled_at = now;
         account.demand_at = now;
     }
@@ -96,7 +99,7 @@
 std::optional<SendPeerMessage> QuotaLending::record_demand(QuotaAccount &account, VolumeId volume,
                                                            double units, Micros now) {
     settle(account, now);
-    account.demand += units * kMicrosPerSecond / kDemandWindow;
+    account.demand += units * kMicrosPerSecond / kDemandWindowMicros;
     if (!enabled() || account.hosts < 2 || account.frozen ||
         now - account.last_registration_at < kRegistrationInterval)
         return std::nullopt;
@@ -120,16 +123,16 @@
 void QuotaLending::spend(QuotaAccount &account, double units, Micros now) {
     settle(account, now);
     for (QuotaAccount::Loan &loan : account.borrowed) {
-        const double taken = std::min(units, loan.units);
-        loan.units -= taken;
-        units -= taken;
-        metrics_.units_used += taken;
+        const double spent = std::min(units, loan.units);
+        loan.units -= spent;
+        units -= spent;
+        metrics_.units_used += spent;
     }
     std::erase_if(account.borrowed, [](const QuotaAccount::Loan &loan) { return loan.units <= 0; });
     account.balance -= units;
 }
 
-/// The next peer in turn, after the one asked last, that has not just lent nothing.
+/// The next peer, in the order of host indexes after the one requested last, that is not in backoff.
 std::optional<int> QuotaLending::choose_lender(const QuotaAccount &account, Micros now) const {
     std::optional<int> first;
     for (const auto &[host, peer] : account.peers) {
@@ -144,7 +147,7 @@
 }
 
 double QuotaLending::units_to_request(const QuotaAccount &account, double units, Micros now) const {
-    const double missing = units - available(account, now) + kDemandAheadSeconds * account.demand;
+    const double missing = units - available(account, now) + kDemandReserveSeconds * account.demand;
     return std::ceil(std::clamp(missing, 1.0, account.burst));
 }
 
@@ -162,7 +165,7 @@
         return std::nullopt;
     QuotaAccount::Peer &peer = account.peers[*lender];
     peer.request_backoff = std::clamp(2 * peer.request_backoff, kMinPeerBackoff, kMaxPeerBackoff);
-    peer.next_request_at = now + peer.request_backoff; // until it grants some
+    peer.next_request_at = now + peer.request_backoff; // reset by a grant of units
     account.last_requested_peer = *lender;
     account.last_request_at = now;
     if (account.pending_requests.size() >= kMaxPendingRequests)
@@ -202,7 +205,7 @@
             return {.replenished = decoded->volume};
         break;
     case QuotaMessage::Kind::Registration:
-        break; // above; needs no account
+        break; // handled above, since it needs no account
     }
     return {};
 }
@@ -223,10 +226,11 @@
             account.peers[host].last_heard_at = now;
 }
 
-/// What this host can spare: it keeps what its own demand needs, and the room that loans must leave.
+/// The units that this host can lend: it retains what its own demand needs, and lends at most
+/// kMaxLentFraction of its burst at a time.
 double QuotaLending::lendable_units(const QuotaAccount &account, Micros now) const {
     const double kept =
-        account.demand > 0 ? kDemandAheadSeconds * account.demand + settings_.mean_request_units : 0;
+        account.demand > 0 ? kDemandReserveSeconds * account.demand + settings_.mean_request_units : 0;
     const double lent = outstanding(account.lent, now);
     return std::min(account.balance - kept, kMaxLentFraction * account.burst - lent);
 }
@@ -251,7 +255,7 @@
     grant.kind = QuotaMessage::Kind::Grant;
     grant.volume = request.volume;
     grant.request_number = request.request_number;
-    grant.units = std::max(units, 0.0); // a grant of 0 still says that this host serves the volume
+    grant.units = std::max(units, 0.0); // a grant of 0 still shows that this host serves the volume
     return SendPeerMessage{from, encode(grant)};
 }
 
--- a/src/overload/quota_lending.hpp
+++ b/src/overload/quota_lending.hpp
@@ -1,26 +1,27 @@
 /// \file
-/// Divides a volume's rate limit among the hosts through which its requests come, and lends units of it
-/// between them. No I/O and no clock.
+/// Divides a volume's rate limit among the hosts that receive its requests, and lets hosts lend units of
+/// their parts to each other. No I/O and no clock.
 ///
-/// Guarantee. Whatever happens to messages and processes, what all hosts together spend of a volume in any
-/// span of time t is at most burst + rate * t, rate and burst being the plan's.
+/// Guarantee. In any time span t, all hosts together spend at most burst + rate * t units of a volume, where
+/// rate and burst are those of the plan, regardless of message loss, delay or duplication and of process
+/// restarts.
 ///
 /// Rule. Each of the h hosts has a part: a balance of at most burst / h units, empty at the start of the
-/// process, which refills at rate / h. Units that are lent leave the lender's balance, and reduce the room in
-/// it until the lender can be sure that the borrower can no longer spend them. The borrower may spend them
-/// for the loan's lifetime, counted from its request by its own clock, which only runs forward and is read at
-/// each spending. The lender counts from the arrival of the request, which is later, and adds a margin for
-/// clocks that run at different speeds. Units that are lent and not spent in time are lost.
+/// process, which refills at rate / h. Lent units are deducted from the lender's balance, and reduce its
+/// capacity until the lender can be sure that the borrower can no longer spend them. The borrower may spend
+/// them for the loan's lifetime, measured from its request by its own monotonic clock, which is read whenever
+/// units are spent. The lender measures from the arrival of the request, which is later, and adds a margin
+/// for clocks that run at different speeds. Lent units that are not spent in time are lost.
 ///
-/// Proof. Let F be the units in all balances plus the units out on loan. F <= burst at any time; F rises by
-/// at most rate * t, and falls by what is spent. The guarantee follows. A process that starts anew does not
-/// know what the process before it has lent: so no host lends more than half of its room at once, and a loan
-/// does not outlive the time in which the other half refills, so that both together still have room. A grant
-/// answers one request, by its number, once: datagrams that are lost, late, duplicated or reordered can only
-/// lose units.
+/// Proof. Let F be the units in all balances plus the units on loan. F <= burst at any time; F rises by
+/// at most rate * t, and falls by what is spent. The guarantee follows. A restarted process does not
+/// know what the preceding process has lent. Therefore a host never has more than half of its burst on loan,
+/// and a loan expires before the other half could have refilled, so that both together fit into the burst.
+/// Each grant is accepted once and only for the request whose number it carries, so datagrams that are lost,
+/// late, duplicated or reordered can only waste units.
 ///
-/// Hosts find each other through the volume's rendezvous host (overload/volume_rendezvous.hpp). What is
-/// unknown or wrong there costs units, and never the guarantee.
+/// Hosts find each other through the volume's rendezvous host (overload/volume_rendezvous.hpp). Missing
+/// or wrong registrations waste units, but never break the guarantee.
 #pragma once
 
 #include "marblewood/scheduler.hpp"
@@ -36,47 +37,48 @@
 
 namespace marblewood::overload {
 
-/// Threads: one owner, called from one thread. `now` never goes back; the hosts' clocks need not agree.
+/// Not thread-safe. `now` must never decrease; the hosts' clocks need not agree.
 class QuotaLending {
 public:
     explicit QuotaLending(const Settings &settings) : settings_(settings) {}
 
-    /// Brings the account up to `now`. `rate` (units/s) and `burst` (units) are the plan's, for all `hosts`
-    /// through which the volume's requests come.
+    /// Refills the account up to `now`. `rate` (units/s) and `burst` (units) are those of the plan, for all
+    /// `hosts` that receive requests for the volume.
     void refill(QuotaAccount &account, double rate, double burst, int hosts, Micros now);
-    /// A request of `units` has arrived. Now and then returns the registration for the volume's rendezvous
-    /// host.
+    /// Records that a client's request for `units` has arrived. Every few seconds, returns a registration to
+    /// send to the volume's rendezvous host.
     std::optional<SendPeerMessage> record_demand(QuotaAccount &account, VolumeId volume, double units,
                                                  Micros now);
-    /// Units that may be spent now: this host's own and borrowed ones.
+    /// The units that may be spent now, both this host's own and borrowed ones.
     double available(const QuotaAccount &account, Micros now) const;
     /// Spends units that are available, borrowed ones first.
     void spend(QuotaAccount &account, double units, Micros now);
 
-    /// `units` are needed now: a request for what is missing, addressed to a peer. Empty where no peer may
-    /// help, or not yet again.
+    /// Returns a request to a peer for the units that are missing to spend `units` now. Empty if no peer can
+    /// be requested, or not yet again.
     std::optional<SendPeerMessage> request_units(QuotaAccount &account, VolumeId volume, double units,
                                                  Micros now);
 
-    /// Whether a datagram is for handle().
+    /// Whether a datagram should be passed to handle().
     static bool recognizes(const std::string &data) { return is_quota_message(data); }
     struct Outcome {
         std::optional<SendPeerMessage> reply = {};
-        std::optional<VolumeId> replenished = {}; ///< more of its units may be spent now
+        std::optional<VolumeId> replenished = {}; ///< the volume that received borrowed units
     };
-    /// Null for a volume that this host does not know.
+    /// Returns null for a volume that this host does not know.
     using AccountLookup = std::function<QuotaAccount *(VolumeId)>;
-    /// A malformed datagram is counted and dropped.
+    /// Processes a datagram from a peer. Malformed ones are counted and dropped.
     Outcome handle(const PeerMessage &message, const AccountLookup &accounts, Micros now);
 
-    /// Units of this host's own that may be spent now.
+    /// This host's own units that may be spent now.
     double own_units(const QuotaAccount &account, Micros now) const;
-    /// Units lent that may still be spent elsewhere.
+    /// Units that this host has lent and that their borrowers may still spend.
     double lent_units(const QuotaAccount &account, Micros now) const;
-    /// Takes over the account of a process that hands over: `lent` counts as lent just now.
+    /// Takes over the account of a parent process. The `lent` units count as lent at `now`.
     void restore(QuotaAccount &account, double balance, double lent, Micros now);
-    /// With `frozen`, a successor has the account and this host keeps `kept` units for requests that it
-    /// accepted before. Without, the successor has gone, and the account starts empty.
+    /// With `frozen`, a successor process has taken over the account, and this one retains up to `kept` units
+    /// for requests that it accepted before. Without it, the successor has exited and the account starts
+    /// empty.
     void set_frozen(QuotaAccount &account, bool frozen, double kept, Micros now);
 
     const QuotaLoanMetrics &metrics() const { return metrics_; }
--- a/src/overload/quota_message.cpp
+++ b/src/overload/quota_message.cpp
@@ -9,8 +9,8 @@
 
 using Kind = QuotaMessage::Kind;
 
-// A datagram is the prefix, the letter of its kind, the volume in hexadecimal, and the kind's own fields,
-// separated by spaces.
+// A datagram consists of the prefix, the letter of its kind, the volume in hexadecimal, and the fields of
+// that kind, separated by spaces.
 constexpr std::string_view kAnyVersionPrefix = "mw-loan";
 constexpr std::string_view kPrefix = "mw-loan1 ";
 constexpr char kRequestLetter = 'a';
@@ -48,8 +48,8 @@
 }
 
 void append_hosts(std::string &text, const std::vector<int> &hosts) {
-    const std::size_t named = std::min(hosts.size(), kMaxHostsInMessage);
-    for (std::size_t index = 0; index < named; ++index) {
+    const std::size_t count = std::min(hosts.size(), kMaxHostsInMessage);
+    for (std::size_t index = 0; index < count; ++index) {
         text += ' ';
         append_number(text, hosts[index], kDecimal);
     }
@@ -73,7 +73,7 @@
     return true;
 }
 
-/// Takes the fields that belong to the message's kind off the front of `rest`.
+/// Removes the fields of the message's kind from the front of `rest`. False if they are malformed.
 bool take_kind_fields(std::string_view &rest, QuotaMessage &message, int hosts) {
     switch (message.kind) {
     case Kind::Request:
--- a/src/overload/request_numbers.hpp
+++ b/src/overload/request_numbers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Numbers that tie grants to the requests they answer.
+/// Numbers that match grants to the requests that they answer.
 #pragma once
 
 #include "marblewood/types.hpp"
@@ -8,8 +8,8 @@
 
 namespace marblewood::overload {
 
-/// Numbers of one process, unique among those it still waits on. The time in them keeps them apart from those
-/// of the processes before and after it at the same place.
+/// Generates request numbers that are unique among the pending requests of a process. They contain the time,
+/// so that they differ from those of earlier and later processes of the same host.
 class RequestNumbers {
 public:
     std::uint64_t next(Micros now) {
--- a/src/overload/slow_start_allocator.cpp
+++ b/src/overload/slow_start_allocator.cpp
@@ -6,13 +6,13 @@
 namespace marblewood::overload {
 namespace {
 
-constexpr int kAllocators = 2;                  // S; while one is unreachable, half remains
-constexpr int kEpochWindows = 6;                // length of an epoch, in windows
-constexpr int kSlotsPerWindow = 16;             // clocks differ by one slot at most
-constexpr Micros kGrantLifetime = 300'000;      // us; g
-constexpr double kClockDrift = 1.05;            // an allocator's clock against a requester's, at most
-constexpr Micros kMinRequestBackoff = 40'000;   // us between requests for one node, at first
-constexpr Micros kMaxRequestBackoff = 320'000;  // us; it doubles up to this while no grant comes
+constexpr int kAllocators = 2;               // S; with 2, half of the budget remains while one is unreachable
+constexpr int kEpochWindows = 6;             // length of an epoch
+constexpr int kSlotsPerWindow = 16;          // the hosts' clocks differ by at most one slot
+constexpr Micros kGrantLifetime = 300'000;   // g
+constexpr double kMaxClockSpeedRatio = 1.05; // at most, of an allocator's clock to a requester's
+constexpr Micros kMinRequestBackoff = 40'000;   // initial pause between requests for one node
+constexpr Micros kMaxRequestBackoff = 320'000;  // the pause doubles up to this until a grant arrives
 constexpr std::size_t kMaxPendingRequests = 16; // for one node
 
 /// The finalizer of MurmurHash3.
@@ -32,20 +32,20 @@
     return kEpochWindows * settings_.slow_start_window;
 }
 
-/// How long a grant counts: W + g, with allowance for clock drift.
+/// How long a grant counts against the budget: W + g, with a margin for clocks that run at different speeds.
 Micros SlowStartAllocator::grant_span() const {
-    const auto lifetime = static_cast<Micros>(static_cast<double>(kGrantLifetime) * kClockDrift);
+    const auto lifetime = static_cast<Micros>(static_cast<double>(kGrantLifetime) * kMaxClockSpeedRatio);
     return settings_.slow_start_window + lifetime;
 }
 
-/// The clock by which the epochs of a part begin.
+/// `now`, offset so that an epoch of the part begins at each multiple of epoch_length().
 Micros SlowStartAllocator::epoch_clock(int part, Micros now) const {
     return now + part * epoch_length() / kAllocators;
 }
 
 int SlowStartAllocator::allocator_of(const SlowStartNode &node, int part, Micros now) const {
     const auto epoch = static_cast<std::uint64_t>(epoch_clock(part, now) / epoch_length());
-    // Parts are hashed one by one; a host that both fall on has both.
+    // The parts are hashed independently; one host may be the allocator of both.
     const std::uint64_t hash =
         mix(node.entry.stable_id ^ mix(epoch * kAllocators + static_cast<std::uint64_t>(part)));
     return static_cast<int>(hash % static_cast<std::uint64_t>(settings_.hosts));
@@ -61,13 +61,13 @@
                std::max(0.0, static_cast<double>(age)) / static_cast<double>(settings_.slow_start_duration);
 }
 
-/// Whether this host is the part's allocator, and grants of the one before it can't be spent any more.
+/// Whether this host is the part's allocator, and grants of its predecessor can no longer be spent.
 bool SlowStartAllocator::may_grant_part(const SlowStartNode &node, int part, Micros now) const {
     return allocator_of(node, part, now) == settings_.position &&
            epoch_clock(part, now) % epoch_length() >= grant_span() + slot_length();
 }
 
-/// The part that this host may grant `units` from now.
+/// The part of the budget from which this host may grant `units` now. Empty if there is none.
 std::optional<int> SlowStartAllocator::part_with_room(const SlowStartNode &node, double units, Micros now,
                                                       Micros started_at) const {
     if (now - started_at < grant_span() + slot_length())
@@ -86,7 +86,7 @@
     return std::nullopt;
 }
 
-/// Units that were granted to this host and may be spent now.
+/// The units granted to this host that may be spent now.
 double SlowStartAllocator::granted_units(const SlowStartNode &node, Micros now) const {
     double units = 0;
     for (const SlowStartNode::Grant &grant : node.grants)
@@ -110,9 +110,9 @@
     for (SlowStartNode::Grant &grant : node.grants) {
         if (now >= grant.expires_at)
             continue;
-        const double taken = std::min(units, grant.units);
-        grant.units -= taken;
-        units -= taken;
+        const double spent = std::min(units, grant.units);
+        grant.units -= spent;
+        units -= spent;
     }
     std::erase_if(node.grants, [](const SlowStartNode::Grant &grant) { return grant.units <= 0; });
 }
@@ -127,9 +127,9 @@
     });
 }
 
-/// The allocators in turn, other than this host.
+/// The next allocator in turn other than this host. Empty if this host is the only one.
 std::optional<int> SlowStartAllocator::next_allocator(SlowStartNode &node, Micros now) const {
-    for (int tried = 0; tried < kAllocators; ++tried) {
+    for (int attempt = 0; attempt < kAllocators; ++attempt) {
         const int part = node.next_allocator++ % kAllocators;
         const int host = allocator_of(node, part, now);
         if (host != settings_.position)
@@ -170,7 +170,7 @@
                                                                   Micros now, Micros started_at) {
     const std::optional<int> part = part_with_room(node, request.units, now, started_at);
     if (!part)
-        return std::nullopt; // a smaller grant would not cover the request that waits
+        return std::nullopt; // a smaller grant would not suffice for the request that waits for it
     node.sends.push_back({now, request.units, *part});
     ++metrics_.granted;
     const SlowStartMessage grant{SlowStartMessage::Kind::Grant, request.node, request.request_number,
--- a/src/overload/slow_start_budget.hpp
+++ b/src/overload/slow_start_budget.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How much of a warming-up node's budget this host may use: by allocators' grants where hosts exchange
-/// messages (Settings::peers), else in time slices. No I/O and no clock.
+/// Decides how much of a node's slow-start budget this host may use: by the grants of allocators if hosts
+/// exchange messages (Settings::peers), otherwise by time slices. No I/O and no clock.
 #pragma once
 
 #include "overload/slow_start_allocator.hpp"
@@ -10,10 +10,10 @@
 
 namespace marblewood::overload {
 
-/// The guarantees are those of the two schemes; see their headers.
+/// See SlowStartAllocator and SlowStartTimeSlices for the guarantees.
 ///
-/// Threads: one owner, called from one thread. `now` and `started_at` are Unix time, on clocks that differ by
-/// one slot at most; `started_at` is when this host, or the process it took over from, began to decide.
+/// Not thread-safe. `now` and `started_at` are Unix time, on clocks that differ by at most one slot;
+/// `started_at` is when this process, or the first one of its hot restarts, began to schedule.
 class SlowStartBudget {
 public:
     explicit SlowStartBudget(const Settings &settings)
@@ -41,7 +41,7 @@
             time_slices_.spend(node, units, now);
     }
 
-    /// Drops records that no longer count.
+    /// Drops records that no longer count against the budget.
     void expire(SlowStartNode &node, Micros now) {
         if (settings_.peers)
             allocator_.expire(node, now);
@@ -49,14 +49,15 @@
             time_slices_.expire(node, now);
     }
 
-    /// A request for `units` to an allocator. Empty where none may help, or not yet again.
+    /// Returns a request for `units` to an allocator. Empty if no other host can grant them, or during the
+    /// backoff.
     std::optional<SendPeerMessage> request_grant(SlowStartNode &node, double units, Micros now) {
         if (!settings_.peers || !warming_up(node, now))
             return std::nullopt;
         return allocator_.request_grant(node, units, now);
     }
 
-    /// To decode and answer what other hosts send.
+    /// Decodes and answers the datagrams of other hosts.
     SlowStartAllocator &allocator() { return allocator_; }
     const SlowStartGrantMetrics &metrics() const { return allocator_.metrics(); }
 
--- a/src/overload/slow_start_message.cpp
+++ b/src/overload/slow_start_message.cpp
@@ -5,8 +5,8 @@
 namespace marblewood::overload {
 namespace {
 
-// A datagram is one of these prefixes, the node and the request number in hexadecimal, and the units in
-// decimal, separated by spaces.
+// A datagram consists of one of these prefixes, the node and the request number in hexadecimal, and the units
+// in decimal, separated by spaces.
 constexpr std::string_view kRequestPrefix = "mw-cold1 ask ";
 constexpr std::string_view kGrantPrefix = "mw-cold1 give ";
 
--- a/src/overload/slow_start_time_slices.cpp
+++ b/src/overload/slow_start_time_slices.cpp
@@ -10,10 +10,11 @@
 constexpr int kBaseLayer = 0;   // C
 constexpr int kGrowthLayer = 1; // E
 
-constexpr int kSlotsPerWindow = 16; // m; more slots lose less to rounding
-constexpr int kExtraSlots = 32;     // h; a longer slice is likelier to meet a request
-constexpr int kSkewSlots = 2;       // m + 2 slots in a window: unaligned, and clocks a slot apart
-constexpr int kShardStride = 97;    // hosts between the turns for neighbouring shards
+constexpr int kSlotsPerWindow = 16; // m; with more slots, less is lost to rounding
+constexpr int kSpendableSlots = 32; // h; in a longer slice, it is more likely that there is a request to send
+/// A window touches m + 2 slots: it is not aligned to them, and clocks differ by up to a slot.
+constexpr int kWindowMarginSlots = 2;
+constexpr int kShardStride = 97; // offset, in hosts, between the turns for consecutive shards
 
 } // namespace
 
@@ -25,32 +26,33 @@
     return std::max<Micros>(1, settings_.slow_start_window / kSlotsPerWindow);
 }
 
-/// The least by which E grows in a slot.
+/// The minimum growth of E in a slot.
 double SlowStartTimeSlices::growth_per_slot() const {
     return settings_.slow_start_units * (1 / settings_.slow_start_initial_fraction - 1) *
            static_cast<double>(slot_length()) / static_cast<double>(settings_.slow_start_duration);
 }
 
-/// Units of the layer in a window, over all hosts.
+/// The units of the layer in a window, for all hosts together.
 double SlowStartTimeSlices::layer_budget(const SlowStartNode &node, int layer, Micros at) const {
     if (layer == kBaseLayer)
         return settings_.slow_start_units;
     if (!node.start_listed)
         return 0;
     const Micros age = at - node.slow_start_began - settings_.slow_start_window;
-    const Micros whole_slots = age / slot_length() - kSkewSlots;
+    const Micros whole_slots = age / slot_length() - kWindowMarginSlots;
     return growth_per_slot() * std::max(0.0, static_cast<double>(whole_slots));
 }
 
-/// A(slot): the number of time slices given out before that slot.
+/// A(slot): the number of time slices assigned before that slot.
 double SlowStartTimeSlices::slices_before(int layer, double slot) const {
-    const double units_per_slice = (kSlotsPerWindow + kSkewSlots + kExtraSlots) * typical_request_units();
+    const double units_per_slice =
+        (kSlotsPerWindow + kWindowMarginSlots + kSpendableSlots) * typical_request_units();
     if (layer == kBaseLayer) {
         const double units_per_slot = std::max(0.0, settings_.slow_start_units - typical_request_units());
         return std::floor(slot * units_per_slot / units_per_slice);
     }
     // Slots in which E, one window late, exceeds one typical request.
-    const double growing_slots = std::max(0.0, slot - kSlotsPerWindow - (kSkewSlots + 1) -
+    const double growing_slots = std::max(0.0, slot - kSlotsPerWindow - (kWindowMarginSlots + 1) -
                                                    std::ceil(typical_request_units() / growth_per_slot()));
     return std::floor(growth_per_slot() * growing_slots * (growing_slots - 1) / 2 / units_per_slice);
 }
@@ -58,23 +60,23 @@
 bool SlowStartTimeSlices::owns_time_slice(const SlowStartNode &node, int layer, Micros now) const {
     const Micros elapsed = layer == kBaseLayer ? now : now - node.slow_start_began;
     const std::int64_t slot = elapsed / slot_length();
-    // The hosts whose slices can be spent in this slot: a range that runs on beyond the number of hosts.
+    // The range of hosts whose slices can be spent in this slot; it wraps around at the number of hosts.
     const auto first =
-        static_cast<std::int64_t>(slices_before(layer, static_cast<double>(slot - kExtraSlots)));
+        static_cast<std::int64_t>(slices_before(layer, static_cast<double>(slot - kSpendableSlots)));
     const auto last = static_cast<std::int64_t>(slices_before(layer, static_cast<double>(slot + 1)));
     const std::int64_t own = settings_.position + static_cast<std::int64_t>(node.entry.shard) * kShardStride;
     const std::int64_t hosts = settings_.hosts;
     return ((own - first) % hosts + hosts) % hosts < last - first;
 }
 
-/// What this host may send out of a time slice. Empty: it has none now.
+/// What this host may send from its time slice. Empty if it has none now.
 std::optional<SlowStartTimeSlices::Allowance> SlowStartTimeSlices::time_slice(const SlowStartNode &node,
                                                                               int layer, Micros now) const {
     if (layer_budget(node, layer, now) / settings_.hosts >= typical_request_units())
-        return std::nullopt; // the empty window between time slices and even parts
+        return std::nullopt; // the idle window between the use of time slices and of even parts
     if (!owns_time_slice(node, layer, now))
         return std::nullopt;
-    return Allowance{typical_request_units(), now - (kExtraSlots + 1) * slot_length()};
+    return Allowance{typical_request_units(), now - (kSpendableSlots + 1) * slot_length()};
 }
 
 std::optional<SlowStartTimeSlices::Allowance> SlowStartTimeSlices::allowance(const SlowStartNode &node,
@@ -88,7 +90,7 @@
     return Allowance{even_part, window_start};
 }
 
-/// Units of the layer that this host may send now.
+/// The units of the layer that this host may send now.
 double SlowStartTimeSlices::available(const SlowStartNode &node, int layer, Micros now) const {
     const std::optional<Allowance> allowed = allowance(node, layer, now);
     if (!allowed)
@@ -113,9 +115,10 @@
 }
 
 void SlowStartTimeSlices::expire(SlowStartNode &node, Micros now) const {
-    const Micros slice_length = (kExtraSlots + 1) * slot_length();
-    const Micros kept = std::max(settings_.slow_start_window, slice_length) + settings_.slow_start_window;
-    while (!node.sends.empty() && node.sends.front().at < now - kept)
+    const Micros slice_length = (kSpendableSlots + 1) * slot_length();
+    const Micros retention =
+        std::max(settings_.slow_start_window, slice_length) + settings_.slow_start_window;
+    while (!node.sends.empty() && node.sends.front().at < now - retention)
         node.sends.pop_front();
 }
 
--- a/tests/lossy_network.hpp
+++ b/tests/lossy_network.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Datagrams between hosts in virtual time: lost, duplicated and late at random.
+/// A simulated network in virtual time that loses, duplicates and delays datagrams at random.
 #pragma once
 
 #include "marblewood/types.hpp"
@@ -14,13 +14,14 @@
 namespace test {
 
 struct Datagram {
-    marblewood::Micros at = 0; ///< when it was sent; in a LossyNetwork: when it arrives
+    /// The time at which it was sent or, within a LossyNetwork, at which it arrives.
+    marblewood::Micros at = 0;
     int from = 0;
     int to = 0;
     std::string data;
 };
 
-/// Both ends included.
+/// A random integer from `from` to `to`, both included.
 inline int pick(std::mt19937 &random, int from, int to) {
     return std::uniform_int_distribution<int>(from, to)(random);
 }
@@ -30,7 +31,7 @@
     struct Faults {
         int lost_percent = 0;
         int duplicated_percent = 0;
-        int max_delay = 1; ///< us
+        int max_delay = 1; ///< microseconds
     };
 
     LossyNetwork(std::mt19937 &random, Faults faults) : random_(random), faults_(faults) {}
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Calls `deliver` with each datagram that has arrived by `now`, and sends what it returns.
+    /// Calls `deliver` with each datagram that has arrived by `now`, and sends the answer that it returns.
     template <typename Deliver> void deliver_due(marblewood::Micros now, Deliver deliver) {
         for (std::size_t index = 0; index < in_flight_.size();) {
             if (in_flight_[index].at > now) {
--- a/tests/quota_lending_test.cpp
+++ b/tests/quota_lending_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A volume's rate limit over a fleet of hosts that lend each other units: what all hosts together spend
-/// stays within the limit, counted independently of the code under test.
+/// The rate limit of a volume in a fleet of hosts that lend units to each other. The units that all hosts
+/// together spend must stay within the limit; they are counted independently of the code under test.
 #include "overload/quota_lending.hpp"
 
 #include "lossy_network.hpp"
@@ -27,7 +27,7 @@
 
 class Fleet {
 public:
-    /// `clock_speeds`: one for each host; none: all 1.
+    /// `clock_speeds` has one entry for each host; if it is empty, all are 1.
     Fleet(int hosts, double rate, double burst, std::vector<double> clock_speeds = {})
         : rate_(rate), burst_(burst), clock_speeds_(std::move(clock_speeds)), plan_balance_(burst) {
         clock_speeds_.resize(static_cast<std::size_t>(hosts), 1);
@@ -40,7 +40,8 @@
             hosts_.emplace_back(settings);
     }
 
-    /// A request arrives at a host, which spends the units if it may. Returns what the host sends to peers.
+    /// A request arrives at a host, which spends the units if available. Returns the datagrams that it sends
+    /// to peers.
     std::vector<Datagram> request(int index, double units) {
         Host &host = refilled(index);
         std::vector<Datagram> sent;
@@ -58,7 +59,7 @@
         return sent;
     }
 
-    /// Every host spends all that it may.
+    /// Every host spends all available units.
     void spend_all() {
         constexpr double kUnitsEach = 0.25;
         for (int index = 0; index < size(); ++index)
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Lets every host learn which others serve the volume.
+    /// Registers all hosts, so that each knows the others that serve the volume.
     void register_all() {
         constexpr Micros kRegistrationPause = 9'000'000;
         for (int round = 0; round < 2; ++round, now += kRegistrationPause)
@@ -112,7 +113,8 @@
     double loans_used() const { return total(&QuotaLoanMetrics::units_used); }
 
     Micros now = kBegin;
-    /// The least that the plan's own token bucket held; under 0: the rate limit was broken.
+    /// The lowest level of a token bucket with the plan's rate and burst; below 0, the rate limit was
+    /// exceeded.
     double least_plan_balance = std::numeric_limits<double>::max();
     double units_spent = 0;
 
@@ -131,7 +133,7 @@
         one.lending.refill(one.account, rate_, burst_, size(), clock(index));
         return one;
     }
-    /// Each clock runs at a speed of its own, from a time of its own.
+    /// Each host's clock has its own speed and its own offset.
     Micros clock(int index) const {
         constexpr Micros kClockOffset = 77'000'000;
         const double elapsed = static_cast<double>(now - kBegin);
@@ -159,7 +161,8 @@
     Micros plan_refilled_at_ = kBegin;
 };
 
-// A host whose clock runs fast by this much refills faster than its part; the plan's slack covers that.
+// A host whose clock is fast by this fraction refills faster than its part of the rate. The slack of
+// the plan's limit covers that.
 constexpr double kMaxClockError = 0.02;
 
 struct ScheduleResult {
@@ -218,14 +221,14 @@
         loans_used += result.loans_used;
         units_spent += result.units_spent;
     }
-    // The schedules exercise what they bound.
+    // The schedules must have lent and spent units, or they would prove nothing.
     EXPECT_GT(loans_used, 10'000.0);
     EXPECT_GT(units_spent, 100'000.0);
 }
 
 namespace {
 
-/// The steps of a schedule of a borrower and a lender, taken in every order.
+/// The steps of a schedule of a borrower and a lender. The test runs them in every order.
 enum class Step {
     Request,
     RequestAgain,
@@ -320,7 +323,7 @@
             requested += units;
         fleet.deliver_all(fleet.request(0, units));
     }
-    // Its own part would be 40%: 20 of 50 units/s.
+    // The host's own part is 20 units/s, 40% of the 50 units/s that are requested.
     EXPECT_GT(fleet.units_spent - spent_before, 0.8 * requested);
     EXPECT_GE(fleet.least_plan_balance, -1e-6);
 }
@@ -331,7 +334,7 @@
     for (int count = 0; count < 10; ++count)
         fleet.request(0, 1);
     for (int count = 0; count < 6; ++count, fleet.now += 31'000)
-        fleet.deliver_all(fleet.request(0, kTooManyUnits)); // asks each peer in turn
+        fleet.deliver_all(fleet.request(0, kTooManyUnits)); // requests units from each peer in turn
     const double lent = fleet.units_lent();
     for (int lender = 1; lender < 6; ++lender) {
         fleet.restart(lender);
@@ -359,7 +362,8 @@
     EXPECT_EQ(lending.metrics().malformed, 15u);
     EXPECT_FALSE(QuotaLending::recognizes("mw-cold1 ask 1 2 3"));
     const char *const registration = "mw-loan1 m ffffffffffffffff";
-    EXPECT_FALSE(lending.handle({1, registration}, no_account, 1'000'000).reply); // the first one there
+    // No other host is registered yet.
+    EXPECT_FALSE(lending.handle({1, registration}, no_account, 1'000'000).reply);
     const QuotaLending::Outcome second = lending.handle({2, registration}, no_account, 1'000'000);
     ASSERT_TRUE(second.reply);
     EXPECT_EQ(second.reply->data, "mw-loan1 h ffffffffffffffff 1");
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The slow-start budget of one node over a fleet of hosts, with and without messages: what all hosts
-/// together send to it in any window stays within the budget, counted independently of the code under test.
+/// The slow-start budget of one node in a fleet of hosts, with and without messages between them. The units
+/// that all hosts together send to the node in any window must stay within the budget; they are counted
+/// independently of the code under test.
 #include "overload/slow_start_budget.hpp"
 
 #include "lossy_network.hpp"
@@ -30,7 +31,7 @@
     int hosts = 2;
     double budget = 0; ///< units in a window
     bool messages = false;
-    std::vector<Micros> clock_skews = {}; ///< one for each host; none: all 0
+    std::vector<Micros> clock_skews = {}; ///< one for each host; if empty, all are 0
     Micros slow_start_duration = 8 * kWindow;
 };
 
@@ -62,7 +63,7 @@
     Micros started_at;
 };
 
-/// Hosts that all know of the node's start at kNodeStart, and what they send to the node.
+/// Hosts that all know of the node's start at kNodeStart, and their sends to the node.
 class Fleet {
 public:
     struct Send {
@@ -85,7 +86,7 @@
         return true;
     }
 
-    void send_all_it_may(int index, double units_each) {
+    void send_all_allowed(int index, double units_each) {
         while (try_send(index, units_each)) {}
     }
 
@@ -192,7 +193,7 @@
         network.deliver_due(fleet.now, [&](const Datagram &datagram) { return fleet.deliver(datagram); });
         const int host = pick(random, 0, settings.hosts - 1);
         send_or_request(host, pick(random, 1, 5));
-        if (pick(random, 0, 19) == 0) // all have work at once
+        if (pick(random, 0, 19) == 0) // all hosts have requests at the same time
             for (int each = 0; each < settings.hosts; ++each)
                 send_or_request(each, 1);
         if (pick(random, 0, 99) == 0)
@@ -214,7 +215,7 @@
         grants_used += fleet.grants_used();
         (messages ? units_with_messages : units_without_messages) += fleet.units_sent();
     }
-    // The schedules exercise what they bound.
+    // The schedules must have used grants and sent units, or they would prove nothing.
     EXPECT_GT(grants_used, 1'000u);
     EXPECT_GT(units_without_messages, 20'000.0);
     EXPECT_GT(units_with_messages, 100'000.0);
@@ -222,7 +223,7 @@
 
 namespace {
 
-/// The steps of a schedule of two hosts that exchange messages, taken in every order.
+/// The steps of a schedule of two hosts that exchange messages. The test runs them in every order.
 enum class Step {
     FirstRequests,
     SecondRequests,
@@ -268,7 +269,7 @@
 
     void send_all(double units_each) {
         for (int host = 0; host < 2; ++host)
-            fleet.send_all_it_may(host, units_each);
+            fleet.send_all_allowed(host, units_each);
     }
 
     Fleet fleet;
@@ -294,12 +295,12 @@
 
 /// A time at which host 1, as an allocator, grants what host 0 requests.
 Micros time_of_first_grant(const FleetSettings &settings) {
-    Fleet scout(settings);
-    for (bool granted = false; !granted; scout.now += kWindow / 4) {
-        const auto request = scout.request_grant(0, 2);
-        granted = request && scout.deliver(*request);
+    Fleet fleet(settings);
+    for (bool granted = false; !granted; fleet.now += kWindow / 4) {
+        const auto request = fleet.request_grant(0, 2);
+        granted = request && fleet.deliver(*request);
     }
-    return scout.now;
+    return fleet.now;
 }
 
 } // namespace
--- a/tests/slow_start_grants_test.cpp
+++ b/tests/slow_start_grants_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Several brokers as processes, which grant each other parts of the slow-start budgets of nodes over UDP.
+/// Several broker processes that grant parts of the nodes' slow-start budgets to each other over UDP.
 #include "helper.hpp"
 
 #include <deque>
@@ -15,16 +15,16 @@
 constexpr int kPausedBroker = kBrokers - 1;
 constexpr int kKilledBroker = kBrokers - 2;
 
-// The nodes' slow start, as broker_settings() and kSettings have it.
+// The nodes' slow start as configured in broker_settings() and kSettings.
 constexpr double kBudget = 20; // units in a window
 constexpr double kInitialFraction = 0.18;
 constexpr double kSlowStartSeconds = 17;
 constexpr double kWindowSeconds = 3;
 constexpr double kReadUnits = 2;
 
-constexpr auto kFirstWindowOfABroker = 4500ms; // in which it sends nothing to a node that warms up
+constexpr auto kBrokerStartupDelay = 4500ms; // a new broker sends nothing to a warming-up node until then
 constexpr auto kTimeLimit = 14s;
-const std::string kPiece = "7f3a9c21e0b4d655";
+const std::string kObjectKey = "7f3a9c21e0b4d655";
 
 void replace_in(std::string &text, const std::string &from, const std::string &to) {
     assert(text.find(from) != std::string::npos);
@@ -43,7 +43,7 @@
     return text + "]";
 }
 
-/// The members' list, with a start of the nodes just now.
+/// The member list with the current time as the start of all nodes.
 std::string with_nodes_started_now(std::string members) {
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
@@ -53,7 +53,7 @@
     return members;
 }
 
-/// Nodes that serve every read, and when they did.
+/// Nodes that serve every read and record when they did.
 class Nodes {
 public:
     Nodes() {
@@ -77,8 +77,8 @@
         return text;
     }
 
-    /// Of the reads since `since`, checks that those of each window stay within the budget of nodes that
-    /// started at `start`.
+    /// Checks that the reads since `since` stay within the budget in each window, for nodes that started at
+    /// `start`.
     void check_windows(Clock::time_point start, Clock::time_point since) {
         const std::lock_guard lock(mutex_);
         for (std::deque<Clock::time_point> &reads : reads_) {
@@ -120,7 +120,7 @@
 
     Program &operator[](int index) { return *programs_[static_cast<std::size_t>(index)]; }
 
-    /// The sum of a figure over the first `count` brokers.
+    /// The sum of a metric over the first `count` brokers.
     long sum(const char *figure, int count) {
         long all = 0;
         for (int index = 0; index < count; ++index)
@@ -132,8 +132,8 @@
     std::vector<std::unique_ptr<Program>> programs_;
 };
 
-/// Reads from the nodes in turn through the first brokers, until `enough` grants were used or time is up.
-/// Returns the number of reads served.
+/// Reads from the nodes in turn through the first brokers, until `enough` grants were used or kTimeLimit is
+/// over. Returns the number of reads that were served.
 int read_until_grants_are_used(Brokers &brokers, long enough, Clock::time_point begin) {
     std::atomic<int> served = 0;
     std::atomic<bool> done = false;
@@ -143,9 +143,9 @@
         clients.emplace_back([&, broker] {
             Socket client = brokers[broker].client();
             for (int shard = broker; !done && time_left(); ++shard) {
-                client.send(get(kPiece, shard % kNodes));
+                client.send(get(kObjectKey, shard % kNodes));
                 const auto answer = client.value();
-                assert(answer); // every request gets one
+                assert(answer); // every request must be answered
                 if (answer->text == "v")
                     ++served;
             }
@@ -159,19 +159,19 @@
     return served;
 }
 
-// The nodes start anew, as every broker is notified; three brokers have requests for them. They get what the
-// nodes' allocators grant, also while one broker is paused and another is dead, and the load on a node in any
-// window stays within its budget. Which brokers are allocators follows from the nodes' names and the clock,
-// so that of four nodes some have allocators other than the requesting brokers; when grants are given differs
-// from run to run.
+// All nodes restart, and every broker is notified. Three brokers have requests for the nodes and need grants
+// of the nodes' allocators, while one broker is paused and another is dead. The load on a node must stay
+// within its budget in any window. Which brokers are allocators depends on the nodes' names and the clock.
+// With four nodes, some have allocators other than the requesting brokers; when grants are given differs from
+// run to run.
 void allocators_grant_the_budget_of_starting_nodes() {
     Nodes nodes;
     Discovery discovery(nodes.members());
     Brokers brokers(discovery);
-    std::this_thread::sleep_for(kFirstWindowOfABroker);
+    std::this_thread::sleep_for(kBrokerStartupDelay);
     const auto start = Clock::now();
     discovery.change(with_nodes_started_now(nodes.members()));
-    discovery.await_taken(kBrokers); // each has it and watches on
+    discovery.await_taken(kBrokers); // each has received the change and polls again
     brokers[kPausedBroker].signal(SIGSTOP);
     brokers[kKilledBroker].signal(SIGKILL);
 
