--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -34,19 +34,19 @@
     if (c.memory_mb < 16 || c.memory_mb > 1 << 20)
         throw Error("field 'limits.memory_mb' is not from 16 to 1048576");
     if (c.sockets < 64)
-        throw Error("field 'limits.sockets' is under 64, too few to serve");
+        throw Error("field 'limits.sockets' is below 64, which is too few to serve");
     if (root.isMember("known"))
         c.known = root["known"];
     c.settings = read_settings(need(root, "settings"), seed);
     try {
-        Scheduler probe(c.settings); // what contradicts itself is found now
+        Scheduler probe(c.settings); // throws if the settings contradict each other
     } catch (const std::invalid_argument &error) {
         throw Error(std::string("field 'settings': ") + error.what());
     }
-    // Without discovery the nodes in `known` are served, and a reload may name discovery later; with neither
-    // there is nothing to serve from.
+    // Without discovery, the broker uses the nodes in `known`, and a reload may add discovery later. With
+    // neither, it would have no nodes.
     if (c.discovery.empty() && (!c.known.isObject() || c.known["members"].empty()))
-        throw Error("field 'discovery' is missing, and 'known' names no node to serve from without it");
+        throw Error("field 'discovery' is missing, and 'known' has no nodes to use without it");
     return c;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,6 @@
-// What a broker is told: $BALANCER_CONFIG, or a file named on the command line.
+/// \file
+/// A broker's configuration: the file named by $BALANCER_CONFIG or on the command line, and the operator's
+/// file.
 #pragma once
 
 #include "config/decode.hpp"
@@ -10,23 +12,26 @@
     std::vector<std::string> peers;
     int sockets = 1024;
     std::size_t memory_mb = 192;
-    Json::Value known; // in discovery's form
-    Settings settings; // the module's own
-    Json::Value file;  // as written, to tell at a reload what has changed
+    Json::Value known; ///< a list of nodes in the format of discovery's responses
+    Settings settings; ///< of the scheduler
+    Json::Value file;  ///< the whole file, to find out at a reload which fields have changed
 };
 
-// What an operator may add in a file of his own: more fronts, telemetry, more planners. Each part is decoded
-// by those who use it.
+/// The operator's file, which can add front ends, telemetry and dispatchers. The JSON parts are decoded by
+/// the modules that use them.
 struct Operator {
     int dispatchers = 1;
-    bool lends = false; // units of plans' limits to other brokers, and borrows
+    bool lends = false; ///< lends units of the plans' rate limits to other brokers, and borrows from them
     Json::Value nvme, otlp, cells;
-    Json::Value distribution; // see config/distribution.hpp
+    Json::Value distribution; ///< decoded in config/distribution.hpp
 };
-Operator load_operator(const std::string &path); // an empty path: nothing added
+/// Returns the defaults for an empty path. Throws Error naming the field.
+Operator load_operator(const std::string &path);
 
-Config read_config(const Json::Value &root); // throws Error naming the field
+/// Throws Error naming the field.
+Config read_config(const Json::Value &root);
 Config load(const std::string &path);
-std::string read_text(const std::string &path); // a whole file; throws Error
+/// The contents of a file. Throws Error.
+std::string read_text(const std::string &path);
 
 } // namespace marblewood::config
--- a/src/config/decode.cpp
+++ b/src/config/decode.cpp
@@ -18,12 +18,12 @@
 /// Whether the endpoint list has to be polled.
 constexpr Words<bool, 2> kMembershipModes{{{"pushed", false}, {"on_request", true}}};
 
-[[noreturn]] void wrong(const char *field, const char *what) {
+[[noreturn]] void throw_field_error(const char *field, const char *what) {
     throw Error(std::string("field '") + field + "' " + what);
 }
-bool given(const Json::Value &object, const char *field) {
+bool has_value(const Json::Value &object, const char *field) {
     if (!object.isObject())
-        wrong(field, "stands in something that is no object");
+        throw_field_error(field, "has a parent that is not an object");
     return object.isMember(field) && !object[field].isNull();
 }
 
@@ -34,7 +34,7 @@
         Json::CharReaderBuilder b;
         Json::CharReaderBuilder::strictMode(&b.settings_);
         b["failIfExtra"] = true;
-        b["stackLimit"] = 32; // hostile nesting must not exhaust the stack
+        b["stackLimit"] = 32; // malicious nesting must not exhaust the stack
         b["strictRoot"] = false;
         return b;
     }();
@@ -52,67 +52,67 @@
 }
 
 const Json::Value &need(const Json::Value &object, const char *field) {
-    if (!given(object, field))
+    if (!has_value(object, field))
         throw Error(std::string("missing field '") + field + "'");
     return object[field];
 }
 std::string need_text(const Json::Value &object, const char *field) {
     const Json::Value &v = need(object, field);
     if (!v.isString())
-        wrong(field, "is not a text");
+        throw_field_error(field, "is not a string");
     return v.asString();
 }
 double need_number(const Json::Value &object, const char *field) {
     const Json::Value &v = need(object, field);
     if (!v.isNumeric())
-        wrong(field, "is not a number");
+        throw_field_error(field, "is not a number");
     return v.asDouble();
 }
 std::int64_t need_integer(const Json::Value &object, const char *field) {
     const Json::Value &v = need(object, field);
     if (!v.isNumeric())
-        wrong(field, "is not a number");
+        throw_field_error(field, "is not a number");
     if (v.isInt64())
         return v.asInt64();
     if (v.isUInt64())
         return static_cast<std::int64_t>(v.asUInt64());
-    const double d = v.asDouble();
-    if (!(std::abs(d) < 9e18))
-        wrong(field, "is out of range");
-    return std::llround(d);
+    const double number = v.asDouble();
+    if (!(std::abs(number) < 9e18))
+        throw_field_error(field, "is out of range");
+    return std::llround(number);
 }
 std::string text_or(const Json::Value &object, const char *field, const std::string &otherwise) {
-    return given(object, field) ? need_text(object, field) : otherwise;
+    return has_value(object, field) ? need_text(object, field) : otherwise;
 }
 double number_or(const Json::Value &object, const char *field, double otherwise) {
-    return given(object, field) ? need_number(object, field) : otherwise;
+    return has_value(object, field) ? need_number(object, field) : otherwise;
 }
 std::int64_t integer_or(const Json::Value &object, const char *field, std::int64_t otherwise) {
-    return given(object, field) ? need_integer(object, field) : otherwise;
+    return has_value(object, field) ? need_integer(object, field) : otherwise;
 }
 bool flag_or(const Json::Value &object, const char *field, bool otherwise) {
-    if (!given(object, field))
+    if (!has_value(object, field))
         return otherwise;
     if (!object[field].isBool())
-        wrong(field, "is neither true nor false");
+        throw_field_error(field, "is neither true nor false");
     return object[field].asBool();
 }
-Micros micros(double milliseconds) { // a time that no clock holds is taken as the longest one
+Micros micros(double milliseconds) { // clamped, so that the result fits into Micros
     return std::llround(std::clamp(std::isnan(milliseconds) ? 0 : milliseconds, -1e14, 1e14) * 1000);
 }
 
 namespace {
 
-/// An object within `params`; an empty one where it is missing or null.
+/// The object in a field; an empty one if the field is missing or null.
 Json::Value object_or_empty(const Json::Value &params, const char *field) {
-    return given(params, field) ? params[field] : Json::Value(Json::objectValue);
+    return has_value(params, field) ? params[field] : Json::Value(Json::objectValue);
 }
 
-/// A list within `params`; an empty one where it is missing or null.
+/// The list in a field; an empty one if the field is missing or null.
 Json::Value list_or_empty(const Json::Value &params, const char *field) {
-    Json::Value rows = given(params, field) ? params[field] : Json::Value(Json::arrayValue);
+    Json::Value rows = has_value(params, field) ? params[field] : Json::Value(Json::arrayValue);
     if (!rows.isArray())
-        wrong(field, "is not a list");
+        throw_field_error(field, "is not a list");
     return rows;
 }
 
@@ -120,13 +120,13 @@
     return std::ranges::find(rows, name, &Row::name) != rows.end();
 }
 
-// The functions below are the one place where the settings' names meet the module's.
+// Only the functions below map the field names of the settings to the members of Settings.
 
 ClassSettings read_class(const Json::Value &row, const std::vector<ClassSettings> &earlier) {
     ClassSettings cls;
     cls.name = need_text(row, "name");
     if (has_name(earlier, cls.name))
-        wrong("classes", "names a class twice");
+        throw_field_error("classes", "contains a duplicate class name");
     cls.latency_objective = need_time(row, "target");
     cls.deadline = need_time(row, "hard_limit");
     cls.priority_weight = number_or(row, "importance", 1);
@@ -143,7 +143,7 @@
     PlanSettings plan;
     plan.name = need_text(row, "name");
     if (has_name(earlier, plan.name))
-        wrong("policies", "names a plan twice");
+        throw_field_error("policies", "contains a duplicate plan name");
     plan.rate = number_or(row, "nominal", 0);
     plan.reserve = number_or(row, "reserve", 0);
     plan.weight = number_or(row, "parts", 1);
@@ -154,7 +154,7 @@
     return plan;
 }
 
-/// What the deployment allows a host to do.
+/// The features that the deployment allows a host to use, and their limits.
 void read_bounds(const Json::Value &bounds, Settings &settings) {
     settings.cancel = flag_or(bounds, "cancel", false);
     settings.probes = flag_or(bounds, "probes", false);
@@ -167,7 +167,7 @@
     settings.idle_close = time_or(bounds, "idle_close", 0);
 }
 
-/// The rules that hold between the fleet and its nodes and clients.
+/// The agreements between the fleet and its nodes and clients.
 void read_contract(const Json::Value &contract, Settings &settings) {
     settings.answer_slack = time_or(contract, "grace_to_answer", 0);
     settings.drain_grace = time_or(contract, "drain_grace", 0);
@@ -181,7 +181,7 @@
     settings.retry_budget_window = time_or(contract, "resend_span", 0);
 }
 
-/// The units of work, and how they are accounted.
+/// The units of work and their accounting.
 void read_family_info(const Json::Value &family, Settings &settings) {
     settings.slow_start_units = number_or(family, "cold_bears", 0);
     settings.max_request_units = number_or(family, "largest", 1);
--- a/src/config/distribution.cpp
+++ b/src/config/distribution.cpp
@@ -8,28 +8,29 @@
 namespace marblewood::config {
 namespace {
 
-// 2 KB a second is what a broker may spend on control; the burst is what it may get within the 7 s in which a
+// A broker may use 2 KB/s for control traffic. The burst is what it may receive within the 7 s in which a
 // change has to be in force.
-constexpr distribution::ByteBudget kCallerBudget{2'000, 14'000};
-constexpr distribution::ByteBudget kMachineBudget{10'000'000, 10'000'000};
-constexpr std::int64_t kMostRemoved = 20'000, kMostCallers = 4'000;
+constexpr distribution::ByteBudget kDefaultCallerBudget{2'000, 14'000};
+constexpr distribution::ByteBudget kDefaultMachineBudget{10'000'000, 10'000'000};
+constexpr std::int64_t kDefaultMaxRemoved = 20'000, kDefaultMaxCallers = 4'000;
 
 std::vector<distribution::Distributor> read_distributors(const Json::Value &rows, const char *field) {
-    std::vector<distribution::Distributor> all;
+    std::vector<distribution::Distributor> distributors;
     std::set<std::string> names;
     for (const Json::Value &row : rows) {
-        all.push_back({need_text(row, "name"),
-                       need_text(row, "address"),
-                       {text_or(row, "zone", ""), text_or(row, "region", "")}});
-        if (!names.insert(all.back().name).second)
-            throw Error(std::string("field '") + field + "': '" + all.back().name + "' stands there twice");
+        distributors.push_back({need_text(row, "name"),
+                                need_text(row, "address"),
+                                {text_or(row, "zone", ""), text_or(row, "region", "")}});
+        if (!names.insert(distributors.back().name).second)
+            throw Error(std::string("field '") + field + "': duplicate name '" + distributors.back().name +
+                        "'");
     }
-    return all;
+    return distributors;
 }
 
 distribution::ByteBudget read_budget(const Json::Value &root, const char *rate, const char *burst,
-                                     distribution::ByteBudget otherwise) {
-    return {number_or(root, rate, otherwise.rate), number_or(root, burst, otherwise.burst)};
+                                     distribution::ByteBudget fallback) {
+    return {number_or(root, rate, fallback.rate), number_or(root, burst, fallback.burst)};
 }
 
 } // namespace
@@ -49,13 +50,14 @@
         config.document_file = text_or(documents, "file", "");
         config.document_parents = read_distributors(documents["parents"], "documents.parents");
         if (config.document_file.empty() == config.document_parents.empty())
-            throw Error("field 'documents': wanted is either 'file' or 'parents'");
+            throw Error("field 'documents': exactly one of 'file' and 'parents' is required");
     }
-    config.limits.caller = read_budget(root, "caller_bytes_per_second", "caller_burst_bytes", kCallerBudget);
+    config.limits.caller =
+        read_budget(root, "caller_bytes_per_second", "caller_burst_bytes", kDefaultCallerBudget);
     config.limits.machine =
-        read_budget(root, "machine_bytes_per_second", "machine_burst_bytes", kMachineBudget);
-    config.most_removed = static_cast<std::size_t>(integer_or(root, "most_removed", kMostRemoved));
-    config.most_callers = static_cast<std::size_t>(integer_or(root, "most_callers", kMostCallers));
+        read_budget(root, "machine_bytes_per_second", "machine_burst_bytes", kDefaultMachineBudget);
+    config.most_removed = static_cast<std::size_t>(integer_or(root, "most_removed", kDefaultMaxRemoved));
+    config.most_callers = static_cast<std::size_t>(integer_or(root, "most_callers", kDefaultMaxCallers));
     return config;
 }
 
--- a/src/config/operations.hpp
+++ b/src/config/operations.hpp
@@ -1,5 +1,6 @@
-// The configuration that may change while brokers serve: what operators tell the whole fleet, as a versioned
-// document that distributors carry. It is read whole or not at all.
+/// \file
+/// Operators' settings for the whole fleet that may change while brokers serve. They are a versioned
+/// document, which distributors pass on, and are read completely or not at all.
 #pragma once
 
 #include "config/decode.hpp"
@@ -8,19 +9,19 @@
 
 namespace marblewood::config {
 
-/// The document by the name kOperationsDocument.
+/// The document with the id kOperationsDocument.
 struct Operations {
-    std::set<std::string> cordons; // nodes that get nothing new, by discovery's id
+    std::set<std::string> cordons; ///< nodes that get no new requests, by their id in discovery
 };
 inline constexpr const char *kOperationsDocument = "operations";
 
 /// Throws Error naming the field.
 Operations read_operations(const Json::Value &document);
 
-/// The file that a distributor at the top serves documents from.
+/// The file from which the topmost distributor serves documents.
 struct DocumentFile {
     std::int64_t version = 0;
-    Json::Value operations; // was read, and is in order
+    Json::Value operations; ///< was validated by read_operations()
 };
 /// Throws Error naming the field.
 DocumentFile load_documents(const std::string &path);
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -145,26 +145,28 @@
 
 namespace {
 
-// The value that valijson's context ("<root>", "[cells]", "[0]", ...) leads to, as far as it leads anywhere.
-const Json::Value &at(const Json::Value &root, const std::vector<std::string> &context, std::string &name) {
-    const Json::Value *here = &root;
+/// Follows valijson's context ("<root>", "[cells]", "[0]", ...) to the value as far as it exists. Appends the
+/// path to `name`.
+const Json::Value &find_value(const Json::Value &root, const std::vector<std::string> &context,
+                              std::string &name) {
+    const Json::Value *current = &root;
     for (const std::string &step : context) {
         if (step.size() < 2 || step.front() != '[')
             continue;
         const std::string key = step.substr(1, step.size() - 2);
         const bool digits =
             !key.empty() && std::all_of(key.begin(), key.end(), [](char c) { return c >= '0' && c <= '9'; });
-        if (here->isArray() && digits && std::stoul(key) < here->size()) {
-            here = &(*here)[static_cast<Json::ArrayIndex>(std::stoul(key))];
+        if (current->isArray() && digits && std::stoul(key) < current->size()) {
+            current = &(*current)[static_cast<Json::ArrayIndex>(std::stoul(key))];
             name += fmt::format("[{}]", key);
-        } else if (here->isObject() && here->isMember(key)) {
-            here = &(*here)[key];
+        } else if (current->isObject() && current->isMember(key)) {
+            current = &(*current)[key];
             name += fmt::format("{}{}", name.empty() ? "" : ".", key);
         } else {
             break;
         }
     }
-    return *here;
+    return *current;
 }
 
 } // namespace
@@ -178,17 +180,18 @@
     if (validator.validate(compiled, valijson::adapters::JsonCppAdapter(root), &results))
         return;
     valijson::ValidationResults::Error error, deepest;
-    while (results.popError(error)) // what is wrong deep inside makes all around it wrong
+    // An error of an inner value is also reported for the values that contain it, so the deepest one is used.
+    while (results.popError(error))
         if (deepest.context.empty() || error.context.size() > deepest.context.size())
             deepest = error;
     std::string name;
-    const Json::Value &value = at(root, deepest.context, name);
+    const Json::Value &value = find_value(root, deepest.context, name);
     const auto start =
         std::min(static_cast<std::size_t>(std::max<std::ptrdiff_t>(value.getOffsetStart(), 0)), text.size());
     const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(start), '\n');
-    std::string why = deepest.description;
-    std::replace(why.begin(), why.end(), '\n', ' ');
-    throw Error(fmt::format("line {}: field '{}': {}", line, name.empty() ? "(the whole)" : name, why));
+    std::string description = deepest.description;
+    std::replace(description.begin(), description.end(), '\n', ' ');
+    throw Error(fmt::format("line {}: field '{}': {}", line, name.empty() ? "(root)" : name, description));
 }
 
 } // namespace marblewood::config
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,16 +1,17 @@
-// Settings against a JSON Schema, by valijson.
+/// \file
+/// Validates configuration files against JSON schemas, with valijson.
 #pragma once
 
 #include "config/decode.hpp"
 
 namespace marblewood::config {
 
-// The operator's file.
+/// The schema of the operator's file.
 extern const char *const kOperatorSchema;
-// A distributor's file.
+/// The schema of a distributor's file.
 extern const char *const kDistributorSchema;
 
-// Throws Error naming the field, and its line in `text`, from which `root` was parsed.
+/// `text` is the text from which `root` was parsed. Throws Error naming the field and its line in `text`.
 void validate(const Json::Value &root, const std::string &text, const char *schema);
 
 } // namespace marblewood::config
