--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -8,27 +8,27 @@
 namespace marblewood::discovery {
 namespace {
 
-// A poll waits for a change between kMaxPollTime - kPollTimeSpread and kMaxPollTime, so that brokers do not
-// renew in step. The sum of kMaxPollTime, kResponseTimeout, the first pauses, a connect and a response stays
-// under 6 s. All in microseconds.
+// A poll waits for a change between kMaxPollTime - kPollTimeJitter and kMaxPollTime, so that brokers do not
+// start new polls in lockstep. The sum of kMaxPollTime, kResponseTimeout, the first pauses, a connect and a
+// response stays under 6 s.
 constexpr Micros kMaxPollTime = 3'200'000;
-constexpr Micros kPollTimeSpread = 1'000'000;
-/// For a connection to come up, and for a response beyond the time that a poll may wait.
+constexpr Micros kPollTimeJitter = 1'000'000;
+/// Limits the time of a connect, and of a response in addition to the time that its poll may wait.
 constexpr Micros kResponseTimeout = 1'100'000;
 
-// Pauses before the next call after a failed one, at first and at most. A shared service must not be met by
-// all brokers together when it returns.
+// The first and the longest pause after failed calls. When a shared service becomes available again, the
+// brokers must not all call it at once.
 constexpr Micros kInitialBackoff = 200'000;
 constexpr Micros kMaxBackoff = 2'000'000;
 constexpr Micros kLocalAgentInitialBackoff = 10'000;
 constexpr Micros kLocalAgentMaxBackoff = 100'000;
-/// The least pause where a shared service is overloaded, and what is drawn beyond it.
-constexpr Micros kOverloadBackoff = 1'000'000;
-constexpr Micros kOverloadBackoffSpread = 1'600'000;
+/// The minimum pause while a shared service is overloaded, and the maximum random time added to it.
+constexpr Micros kMinOverloadBackoff = 1'000'000;
+constexpr Micros kOverloadBackoffJitter = 1'600'000;
 
-/// Until the complete list of an overloaded discovery is requested again, which all brokers need at once
-/// after a move, and which is many times the work of a call for changes. Drawn from half of it to one and a
-/// half.
+/// The mean time until the complete list is requested again from an overloaded discovery service. After a
+/// move, all brokers need that list at once, and it takes the service many times the work of a call for
+/// changes. The time is random, from half to one and a half of this.
 constexpr Micros kCompleteListRetry = 10'000'000;
 
 constexpr Micros kNever = INT64_MAX;
@@ -72,14 +72,14 @@
 }
 
 std::shared_ptr<DiscoveryClient::Watch> DiscoveryClient::start_watch(SourceAddress address,
-                                                                     bool other_revisions) {
+                                                                     bool revisions_incomparable) {
     auto watch = std::make_shared<Watch>(io_, std::move(address), next_backoff());
-    watch->other_revisions = other_revisions;
-    if (other_revisions || revision_ < 0)
-        watch->complete_list_from = 0;
+    watch->revisions_incomparable = revisions_incomparable;
+    if (revisions_incomparable || revision_ < 0)
+        watch->request_complete_list_at = 0;
     asio::co_spawn(io_, run(watch), [](const std::exception_ptr &error) {
         if (error)
-            std::rethrow_exception(error); // a broker that no longer watches must not go on unseen
+            std::rethrow_exception(error); // the process must not continue without watching the list
     });
     return watch;
 }
@@ -110,18 +110,18 @@
         return;
     close(watch);
     watch.address.host = host;
-    // The configuration's check has read it before.
+    // The address was parsed when the configuration was loaded, so the fallback is not needed.
     watch.address.endpoint = net::endpoint<tcp::endpoint>(host).value_or(watch.address.endpoint);
     watch.state = WatchState::Unverified;
 }
 
-// A watch is renewed at once after each response, on the same connection: after a gap of over 200 ms
-// discovery takes it for a new one.
+// The next poll is sent immediately after each response, on the same connection: after a gap of over 200 ms,
+// discovery treats the poll as a new watch.
 asio::awaitable<void> DiscoveryClient::run(std::shared_ptr<Watch> watch) {
     while (!watch->stopped()) {
         if (selector_)
             select_distributor(*watch);
-        const bool complete = deadlines_.clock.now() >= watch->complete_list_from;
+        const bool complete = deadlines_.clock.now() >= watch->request_complete_list_at;
         const CallResult result = co_await poll(*watch, complete);
         if (watch->stopped())
             break;
@@ -134,28 +134,28 @@
 
 asio::awaitable<DiscoveryClient::CallResult> DiscoveryClient::poll(Watch &watch, bool complete) {
     const bool answered_at_once = complete || watch.state == WatchState::Unverified;
-    const Micros timeout = answered_at_once ? 0 : kMaxPollTime - watch.backoff.jitter(kPollTimeSpread);
+    const Micros timeout = answered_at_once ? 0 : kMaxPollTime - watch.backoff.jitter(kPollTimeJitter);
     const std::string target = request_target(complete ? std::nullopt : std::optional(revision_), timeout);
     co_return co_await call(watch, target, timeout);
 }
 
-// A stale response was overtaken on its way, or discovery counts anew: in the latter case its complete list,
-// requested on a new connection, has the lower revision again.
+// A stale response was overtaken by a newer one, or discovery has restarted its revisions. In the latter
+// case, its complete list, requested on a new connection, has the lower revision as well.
 bool DiscoveryClient::accepts(Watch &watch, const ListResponse &response, bool complete) {
     if (complete && response.update.kind != ListUpdate::Kind::Full) {
         ++metrics_.incomplete;
         core::log("discovery_response_rejected reason=incomplete_list revision={}", response.revision);
         return false;
     }
-    if (response.revision >= revision_ || (complete && watch.other_revisions))
+    if (response.revision >= revision_ || (complete && watch.revisions_incomparable))
         return true;
     ++metrics_.stale;
     if (selector_)
-        return false; // that distributor is behind: another one is asked
+        return false; // this distributor is behind; another one will be called
     const bool confirmed = complete && watch.stale_revision && response.revision >= *watch.stale_revision;
     core::log("discovery_revision_decreased revision={} known_revision={}", response.revision, revision_);
     watch.stale_revision = response.revision;
-    watch.complete_list_from = 0;
+    watch.request_complete_list_at = 0;
     return confirmed;
 }
 
@@ -163,14 +163,14 @@
                             bool complete) {
     revision_ = response.revision;
     if (complete) {
-        watch->other_revisions = false;
-        watch->complete_list_from = kNever;
+        watch->revisions_incomparable = false;
+        watch->request_complete_list_at = kNever;
     }
     watch->stale_revision.reset();
     watch->backoff.reset();
     watch->state = WatchState::Watching;
     if (selector_)
-        selector_->answered();
+        selector_->record_success();
     if (watch == next_) {
         stop(*current_);
         current_ = std::exchange(next_, nullptr);
@@ -179,12 +179,12 @@
 }
 
 asio::awaitable<void> DiscoveryClient::recover(Watch &watch, CallStatus status, bool complete) {
-    if (complete && watch.other_revisions && status == CallStatus::Overloaded)
-        watch.complete_list_from =
+    if (complete && watch.revisions_incomparable && status == CallStatus::Overloaded)
+        watch.request_complete_list_at =
             deadlines_.clock.now() + kCompleteListRetry / 2 + watch.backoff.jitter(kCompleteListRetry);
     close(watch);
     if (selector_)
-        selector_->failed(deadlines_.clock.now());
+        selector_->record_failure(deadlines_.clock.now());
     co_await pause(watch, status);
 }
 
@@ -192,13 +192,13 @@
     Micros length = watch.backoff.next();
     const bool shared = options_.source == SourceKind::SharedService;
     if (status == CallStatus::Overloaded && shared && !selector_)
-        length = std::max(length, kOverloadBackoff + watch.backoff.jitter(kOverloadBackoffSpread));
-    bool over = false;
+        length = std::max(length, kMinOverloadBackoff + watch.backoff.jitter(kOverloadBackoffJitter));
+    bool elapsed = false;
     const auto timer = deadlines_.in(length, [&] {
-        over = true;
+        elapsed = true;
         watch.wake_up.put(true);
     });
-    while (!over && !watch.stopped())
+    while (!elapsed && !watch.stopped())
         co_await watch.wake_up.take();
 }
 
@@ -222,8 +222,8 @@
         co_return CallResult{};
     }
     metrics_.sent_bytes += request.size();
-    const Micros until = deadlines_.clock.now() + timeout + kResponseTimeout;
-    const auto response = co_await net::http::exchange(watch.socket, request, until, deadlines_);
+    const Micros deadline = deadlines_.clock.now() + timeout + kResponseTimeout;
+    const auto response = co_await net::http::exchange(watch.socket, request, deadline, deadlines_);
     if (response) {
         metrics_.received_bytes += response->wire_bytes;
         if (response->status == kStatusOk)
@@ -239,17 +239,17 @@
 
 asio::awaitable<boost::system::error_code> DiscoveryClient::ensure_connected(Watch &watch) {
     if (watch.socket.is_open() && !net::quiet(watch.socket))
-        close(watch); // it has ended, or more than a response has come
+        close(watch); // the peer closed it, or sent data after its response
     if (watch.socket.is_open())
         co_return boost::system::error_code();
-    const Micros until = deadlines_.clock.now() + kResponseTimeout;
-    co_return co_await net::dial(watch.socket, watch.address.endpoint, until, deadlines_);
+    const Micros deadline = deadlines_.clock.now() + kResponseTimeout;
+    co_return co_await net::dial(watch.socket, watch.address.endpoint, deadline, deadlines_);
 }
 
 DiscoveryClient::CallResult DiscoveryClient::decode(const Watch &watch, const net::http::Response &response) {
     try {
         return {CallStatus::Answered, resource_.decode(config::parse(response.body))};
-    } catch (const std::exception &error) { // whatever a list may hold, the watch goes on
+    } catch (const std::exception &error) { // no content of a list may end the watch
         ++metrics_.malformed;
         if (!watch.stopped())
             core::log("discovery_call_failed reason=\"malformed response: {}\"", error.what());
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,15 +1,16 @@
 /// \file
-/// Watches a list that discovery serves, by long polls over HTTP/1.1, for as long as the process runs.
+/// Watches a list that discovery serves, with long polls over HTTP/1.1, as long as the process runs.
 ///
-/// Bound. While discovery can be reached and answers in time, a change that it has reaches this process
-/// within 6 s, whatever became of the calls before: a poll is given up a fixed time after it was due, and the
-/// pauses between failed calls are bounded and jittered. With distributors (src/distribution/), of which one
-/// is lost or silent: within 7 s.
+/// Guarantee. While discovery is reachable and answers in time, a change in its list reaches this process
+/// within 6 s, regardless of earlier failures: a poll times out a fixed time after its response was due, and
+/// the pauses between failed calls are bounded and jittered. With distributors (src/distribution/), one of
+/// which has failed or does not answer, the bound is 7 s.
 ///
-/// A response is applied whole or not at all. One that is malformed, cut short, endless, older than what is
-/// known, or incomplete where the complete list was requested changes nothing and is requested again.
+/// A response is applied completely or not at all. One that is malformed, truncated, endless, older than the
+/// known list, or incomplete although the complete list was requested changes nothing, and is requested
+/// again.
 ///
-/// Threads: all of it runs on the io_context's one thread.
+/// Not thread-safe: everything runs on the io_context's only thread.
 #pragma once
 
 #include "core/backoff.hpp"
@@ -27,40 +28,40 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// Counts since the start. Bytes are those of HTTP messages, without TCP's.
+/// Counts since the start. Bytes are those of HTTP messages, without the overhead of TCP.
 struct DiscoveryMetrics {
-    std::uint64_t calls = 0; ///< begun, whether they came through or not
+    std::uint64_t calls = 0; ///< started calls, whether they succeeded or not
     std::uint64_t sent_bytes = 0;
     std::uint64_t received_bytes = 0;
     std::uint64_t failed = 0;     ///< no response, or a status other than 200
-    std::uint64_t malformed = 0;  ///< responses that could not be read
-    std::uint64_t stale = 0;      ///< responses of a lower revision than what is known
-    std::uint64_t incomplete = 0; ///< changes where the complete list was requested
+    std::uint64_t malformed = 0;  ///< responses that could not be decoded
+    std::uint64_t stale = 0;      ///< responses with a lower revision than the known list
+    std::uint64_t incomplete = 0; ///< responses with changes although the complete list was requested
 };
 
-/// The revision of a client that has no list at all, and begins by requesting the complete one.
+/// The revision of a client that has no list; its first call requests the complete one.
 constexpr std::int64_t kNoRevision = -1;
 
-/// What is watched.
+/// A list that a DiscoveryClient can watch.
 struct WatchedResource {
     std::string path;
     std::function<ListResponse(Json::Value response)> decode; ///< throws config::Error
-    /// "name=value&...", sent with each call; may be empty.
+    /// Returns further query parameters ("name=value&...") for each call; may be empty.
     std::function<std::string()> report = nullptr;
 };
-/// The list of nodes. The names outlive the resource.
+/// The list of nodes. `nodes` and `zones` must outlive the resource.
 WatchedResource node_list(config::Names &nodes, config::Names &zones);
 
-/// Who answers at the address.
+/// The kind of server at the address.
 enum class SourceKind {
-    SharedService, ///< one service for all brokers: each call costs it, and they must not return all at once
-    LocalAgent     ///< an agent on this machine, which answers at no cost
+    SharedService, ///< serves all brokers: calls cost it work, and the brokers must not all call at once
+    LocalAgent     ///< an agent on this machine, which can be called often
 };
 
 struct WatchOptions {
     SourceKind source = SourceKind::LocalAgent;
-    Micros max_list_age = 0; ///< longest pause between failed calls; 0: the client's own bound
-    std::uint64_t seed = 0;  ///< of jitter
+    Micros max_list_age = 0; ///< limits the pause between failed calls; 0: the client's default
+    std::uint64_t seed = 0;  ///< for jitter
 };
 WatchOptions watch_options(const Settings &settings);
 
@@ -71,29 +72,30 @@
 
 class DiscoveryClient {
 public:
-    /// Called with each response that is applied, the newest last.
+    /// Called with each accepted response, in the order of acceptance.
     using UpdateHandler = std::function<void(const ListResponse &)>;
 
-    /// Starts to watch. `revision` is that of the list known already, or kNoRevision.
+    /// Starts to watch. `revision` is that of the list that is already known, or kNoRevision.
     DiscoveryClient(asio::io_context &io, core::Deadlines &deadlines, const WatchOptions &options,
                     SourceAddress address, std::int64_t revision, WatchedResource resource,
                     UpdateHandler on_update);
 
-    /// Watches at another address, and there alone once that has answered; until then what the old address
-    /// answers still counts. Its revisions may be counted otherwise, so its complete list is requested; where
-    /// it is overloaded, the changes at first and the complete list a while later.
+    /// Moves the watch to another address. Responses from the old address are still applied until the new one
+    /// has answered. The new address may have an unrelated sequence of revisions, so its complete list is
+    /// requested; if it is overloaded, only the changes are requested at first, and the complete list later.
     void move_to(SourceAddress address);
 
-    /// Calls distributors from now on, which all serve the list of one discovery: when one fails, the next is
-    /// asked for what has changed since. A lower revision is never taken from them.
+    /// Calls distributors from now on. They all serve the list of the same discovery service: when one fails,
+    /// the changes since the known revision are requested from the next. A lower revision is never accepted
+    /// from them.
     void use_distributors(distribution::DistributorSelector selector) { selector_ = std::move(selector); }
 
     const DiscoveryMetrics &metrics() const { return metrics_; }
 
 private:
     enum class WatchState {
-        Watching,   ///< long polls
-        Unverified, ///< has not answered yet: its first call is to be answered at once
+        Watching,   ///< its calls are long polls
+        Unverified, ///< has not answered yet: its first call requests an immediate response
         Stopped
     };
     /// The watch at one address.
@@ -104,12 +106,12 @@
 
         SourceAddress address;
         tcp::socket socket;
-        core::Mailbox<bool> wake_up; ///< ends a pause
+        core::Mailbox<bool> wake_up; ///< ends a pause early
         core::Backoff backoff;
         WatchState state = WatchState::Watching;
-        bool other_revisions = false;               ///< revisions may be counted otherwise than those known
-        Micros complete_list_from = INT64_MAX;      ///< calls request the complete list from then on
-        std::optional<std::int64_t> stale_revision; ///< of the last response, if it was stale
+        bool revisions_incomparable = false; ///< the address may have an unrelated sequence of revisions
+        Micros request_complete_list_at = INT64_MAX; ///< from this time on, calls request the complete list
+        std::optional<std::int64_t> stale_revision;  ///< the revision of the last response, if it was stale
     };
     enum class CallStatus {
         Answered,
@@ -118,10 +120,10 @@
     };
     struct CallResult {
         CallStatus status = CallStatus::Failed;
-        ListResponse response; ///< where Answered
+        ListResponse response; ///< if Answered
     };
 
-    std::shared_ptr<Watch> start_watch(SourceAddress address, bool other_revisions);
+    std::shared_ptr<Watch> start_watch(SourceAddress address, bool revisions_incomparable);
     core::Backoff next_backoff();
     static void close(Watch &watch);
     static void stop(Watch &watch);
@@ -144,12 +146,12 @@
     const WatchOptions options_;
     const WatchedResource resource_;
     const UpdateHandler on_update_;
-    std::int64_t revision_; ///< of what is known
+    std::int64_t revision_; ///< of the known list
     std::uint64_t watches_started_ = 0;
     DiscoveryMetrics metrics_;
     std::optional<distribution::DistributorSelector> selector_;
-    std::shared_ptr<Watch> current_; ///< whose last response is what is known
-    std::shared_ptr<Watch> next_;    ///< where discovery has moved, until it has answered there
+    std::shared_ptr<Watch> current_; ///< the watch whose responses made up the known list
+    std::shared_ptr<Watch> next_;    ///< after move_to(), until the new address has answered
 };
 
 } // namespace marblewood::discovery
--- a/src/distribution/change_log.cpp
+++ b/src/distribution/change_log.cpp
@@ -4,42 +4,42 @@
 
 namespace marblewood::distribution {
 
-Taken ChangeLog::take(const Update &update) {
+Taken ChangeLog::apply(const Update &update) {
     if (update.revision < revision_)
         return Taken::Older;
     if (update.revision == revision_)
         return update.members.empty() || update.complete ? Taken::Yes : Taken::Older;
     const bool first = empty();
     if (first && !update.complete)
-        return Taken::Older; // changes to a list that is not known
+        return Taken::Older; // changes can only be applied to a complete list
     if (update.complete)
-        remove_unnamed(update);
+        remove_unlisted(update);
     for (const Member &member : update.members)
         put(member, update.revision);
     revision_ = update.revision;
     if (first)
         oldest_ = revision_;
-    forget_removed();
+    drop_oldest_removals();
     return Taken::Yes;
 }
 
-void ChangeLog::index(const std::string &id, const Row &row, bool present) {
-    const std::pair key{row.changed, id};
-    const auto apply = [&](Index &of) {
+void ChangeLog::update_indexes(const std::string &id, const Row &row, bool present) {
+    const std::pair key{row.changed_revision, id};
+    const auto update = [&](Index &index) {
         if (present)
-            of.insert(key);
+            index.insert(key);
         else
-            of.erase(key);
+            index.erase(key);
     };
-    apply(by_revision_);
+    update(by_revision_);
     if (row.urgent)
-        apply(urgent_);
+        update(urgent_by_revision_);
     if (row.phase == Phase::Removed) {
-        apply(removed_);
+        update(removed_by_revision_);
     } else if (present) {
-        ++listed_, whole_bytes_ += entry_bytes(row.text);
+        ++listed_count_, complete_list_bytes_ += entry_bytes(row.text);
     } else {
-        --listed_, whole_bytes_ -= entry_bytes(row.text);
+        --listed_count_, complete_list_bytes_ -= entry_bytes(row.text);
     }
 }
 
@@ -50,30 +50,30 @@
         urgent |= at->second.phase != Phase::Removed && at->second.shard != member.shard;
         if (at->second.text == member.text && at->second.phase == member.phase)
             return;
-        index(member.id, at->second, false);
+        update_indexes(member.id, at->second, false);
         rows_.erase(at);
     }
     const Row &row = rows_[member.id] = {member.text, member.phase, member.shard, urgent, revision};
-    index(member.id, row, true);
+    update_indexes(member.id, row, true);
 }
 
-// Whoever is not named by a whole list has been removed.
-void ChangeLog::remove_unnamed(const Update &update) {
-    std::set<std::string_view> named;
+// Members that a complete list leaves out have been removed.
+void ChangeLog::remove_unlisted(const Update &update) {
+    std::set<std::string_view> listed_ids;
     for (const Member &member : update.members)
-        named.insert(member.id);
-    std::vector<Member> gone;
+        listed_ids.insert(member.id);
+    std::vector<Member> removed;
     for (const auto &[id, row] : rows_)
-        if (row.phase != Phase::Removed && !named.contains(id))
-            gone.push_back({id, row.text, Phase::Removed, row.shard});
-    for (const Member &member : gone)
+        if (row.phase != Phase::Removed && !listed_ids.contains(id))
+            removed.push_back({id, row.text, Phase::Removed, row.shard});
+    for (const Member &member : removed)
         put(member, update.revision);
 }
 
-void ChangeLog::forget_removed() {
-    while (removed_.size() > most_removed_) {
-        const auto [revision, id] = *removed_.begin();
-        index(id, rows_.at(id), false);
+void ChangeLog::drop_oldest_removals() {
+    while (removed_by_revision_.size() > max_removed_) {
+        const auto [revision, id] = *removed_by_revision_.begin();
+        update_indexes(id, rows_.at(id), false);
         rows_.erase(id);
         oldest_ = std::max(oldest_, revision);
     }
@@ -92,16 +92,16 @@
     return delta;
 }
 
-Delta ChangeLog::changes(Revision since, std::size_t most_bytes, Revision urgent_told) const {
+Delta ChangeLog::changes(Revision since, std::size_t max_bytes, Revision urgent_sent_revision) const {
     Delta delta{since, false, {}, 0};
     auto at = by_revision_.lower_bound({since + 1, std::string()});
-    while (at != by_revision_.end()) { // a revision goes whole or not at all
+    while (at != by_revision_.end()) { // a revision is never split over two deltas
         const Revision revision = at->first;
         std::size_t bytes = 0;
         auto last = at;
         for (; last != by_revision_.end() && last->first == revision; ++last)
             bytes += entry_bytes(rows_.at(last->second).text);
-        if (!delta.entries.empty() && delta.bytes + bytes > most_bytes)
+        if (!delta.entries.empty() && delta.bytes + bytes > max_bytes)
             break;
         for (; at != last; ++at)
             add(delta, rows_.at(at->second));
@@ -111,16 +111,17 @@
         delta.revision = std::max(since, revision_);
         return delta;
     }
-    const Delta urgent = urgent_changes(delta.revision, urgent_told);
+    const Delta urgent = urgent_changes(delta.revision, urgent_sent_revision);
     delta.entries.insert(delta.entries.end(), urgent.entries.begin(), urgent.entries.end());
     delta.bytes += urgent.bytes;
     return delta;
 }
 
-Delta ChangeLog::urgent_changes(Revision since, Revision urgent_told) const {
+Delta ChangeLog::urgent_changes(Revision since, Revision urgent_sent_revision) const {
     Delta delta{since, false, {}, 0};
-    const Revision told = std::max(since, urgent_told);
-    for (auto at = urgent_.lower_bound({told + 1, std::string()}); at != urgent_.end(); ++at)
+    const Revision sent_revision = std::max(since, urgent_sent_revision);
+    for (auto at = urgent_by_revision_.lower_bound({sent_revision + 1, std::string()});
+         at != urgent_by_revision_.end(); ++at)
         add(delta, rows_.at(at->second));
     return delta;
 }
--- a/src/distribution/delivery.cpp
+++ b/src/distribution/delivery.cpp
@@ -7,175 +7,181 @@
 namespace marblewood::distribution {
 
 Delivery::Delivery(const ChangeLog &log, DeliveryLimits limits, Micros now)
-    : log_(log), limits_(limits), machine_(limits.machine, now) {}
+    : log_(log), limits_(limits), machine_budget_(limits.machine, now) {}
 
 CallerId Delivery::connect(Micros now) {
-    callers_.emplace(++last_, Caller{TokenBucket(limits_.caller, now)});
-    return last_;
+    callers_.emplace(++last_caller_id_, Caller{TokenBucket(limits_.caller, now)});
+    return last_caller_id_;
 }
 
 void Delivery::disconnect(CallerId id) {
-    const auto at = callers_.find(id);
-    if (at == callers_.end())
+    const auto found = callers_.find(id);
+    if (found == callers_.end())
         return;
-    if (at->second.waiting)
-        end_call(id, at->second);
-    whole_written(id);
-    callers_.erase(at);
+    if (found->second.call_open)
+        end_call(id, found->second);
+    complete_list_written(id);
+    callers_.erase(found);
 }
 
-void Delivery::ask(CallerId id, std::optional<Revision> since, Micros until) {
+void Delivery::start_call(CallerId id, std::optional<Revision> since, Micros expires_at) {
     Caller &caller = callers_.at(id);
-    if (caller.waiting)
+    if (caller.call_open)
         end_call(id, caller);
-    ++figures_.calls;
-    caller.waiting = true;
-    caller.until = until;
+    ++metrics_.calls;
+    caller.call_open = true;
+    caller.expires_at = expires_at;
     caller.since = since;
     if (since)
-        caller.held = since;
-    expiries_.emplace(until, id);
+        caller.reported_revision = since;
+    expiries_.emplace(expires_at, id);
     if (need(caller) != Need::None)
-        pending_.insert(id);
+        answerable_.insert(id);
 }
 
-void Delivery::published() {
+void Delivery::on_log_changed() {
     for (const auto &[id, caller] : callers_)
-        if (caller.waiting && need(caller) != Need::None)
-            pending_.insert(id);
+        if (caller.call_open && need(caller) != Need::None)
+            answerable_.insert(id);
 }
 
-void Delivery::whole_written(CallerId id) {
-    if (whole_to_ == id)
-        whole_to_.reset();
+void Delivery::complete_list_written(CallerId id) {
+    if (complete_list_receiver_ == id)
+        complete_list_receiver_.reset();
 }
 
 Delivery::Need Delivery::need(const Caller &caller) const {
     if (log_.empty())
         return Need::Behind;
     if (!caller.since)
-        return Need::Whole;
+        return Need::CompleteList;
     if (*caller.since > log_.revision())
         return Need::Behind;
     if (*caller.since == log_.revision())
         return Need::None;
-    return log_.reaches(*caller.since) ? Need::Changes : Need::Whole;
+    return log_.covers(*caller.since) ? Need::Changes : Need::CompleteList;
 }
 
-// Urgent changes first, then other changes, then whole lists; of each, who is furthest behind.
-std::vector<CallerId> Delivery::by_need() const {
-    using Order = std::tuple<int, Revision, Micros, CallerId>;
-    std::vector<Order> order;
-    for (const CallerId id : pending_) {
+// Urgent changes come first, then other changes, then complete lists; within each group, the caller that is
+// furthest behind.
+std::vector<CallerId> Delivery::callers_by_priority() const {
+    using Priority = std::tuple<int, Revision, Micros, CallerId>;
+    std::vector<Priority> priorities;
+    for (const CallerId id : answerable_) {
         const Caller &caller = callers_.at(id);
-        const Need lacks = need(caller);
-        if (lacks != Need::Changes && lacks != Need::Whole)
+        const Need needed = need(caller);
+        if (needed != Need::Changes && needed != Need::CompleteList)
             continue;
         const Revision since = caller.since.value_or(-1);
-        const bool urgent = lacks == Need::Changes && log_.urgent_after(std::max(since, caller.urgent_told));
-        order.emplace_back(lacks == Need::Whole ? 2 : urgent ? 0 : 1, since, caller.until, id);
+        const bool urgent =
+            needed == Need::Changes && log_.has_urgent_after(std::max(since, caller.urgent_sent_revision));
+        priorities.emplace_back(needed == Need::CompleteList ? 2
+                                : urgent                     ? 0
+                                                             : 1,
+                                since, caller.expires_at, id);
     }
-    std::sort(order.begin(), order.end());
+    std::sort(priorities.begin(), priorities.end());
     std::vector<CallerId> ids;
-    ids.reserve(order.size());
-    for (const Order &one : order)
-        ids.push_back(std::get<CallerId>(one));
+    ids.reserve(priorities.size());
+    for (const Priority &entry : priorities)
+        ids.push_back(std::get<CallerId>(entry));
     return ids;
 }
 
-std::vector<Answer> Delivery::due(Micros now) {
-    std::vector<Answer> out;
-    for (const CallerId id : by_need()) {
+std::vector<Answer> Delivery::answer_due_calls(Micros now) {
+    std::vector<Answer> answers;
+    for (const CallerId id : callers_by_priority()) {
         Caller &caller = callers_.at(id);
-        const bool answered = need(caller) == Need::Whole ? answer_whole(id, caller, now, out)
-                                                          : answer_changes(id, caller, now, out);
+        const bool answered = need(caller) == Need::CompleteList
+                                  ? answer_complete_list(id, caller, now, answers)
+                                  : answer_changes(id, caller, now, answers);
         if (answered)
             end_call(id, caller);
         else
-            put_off(caller);
+            mark_deferred(caller);
     }
     while (!expiries_.empty() && expiries_.begin()->first <= now) {
         const CallerId id = expiries_.begin()->second;
         Caller &caller = callers_.at(id);
-        answer_late(id, caller, out);
+        answer_expired(id, caller, answers);
         end_call(id, caller);
     }
-    return out;
+    return answers;
 }
 
-bool Delivery::answer_changes(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out) {
+bool Delivery::answer_changes(CallerId id, Caller &caller, Micros now, std::vector<Answer> &answers) {
     const Revision since = *caller.since;
-    const bool affordable = caller.budget.ready(now) && machine_.ready(now);
-    if (!affordable && !log_.urgent_after(std::max(since, caller.urgent_told)))
+    const bool affordable = caller.budget.ready(now) && machine_budget_.ready(now);
+    if (!affordable && !log_.has_urgent_after(std::max(since, caller.urgent_sent_revision)))
         return false;
-    Delta delta =
-        affordable ? log_.changes(since, static_cast<std::size_t>(limits_.caller.burst), caller.urgent_told)
-                   : log_.urgent_changes(since, caller.urgent_told);
-    caller.urgent_told = log_.revision();
+    Delta delta = affordable ? log_.changes(since, static_cast<std::size_t>(limits_.caller.burst),
+                                            caller.urgent_sent_revision)
+                             : log_.urgent_changes(since, caller.urgent_sent_revision);
+    caller.urgent_sent_revision = log_.revision();
     caller.budget.spend(now, static_cast<double>(delta.bytes));
-    machine_.spend(now, static_cast<double>(delta.bytes));
-    ++figures_.changes;
-    figures_.entry_bytes += delta.bytes;
-    out.push_back({id, Answer::Kind::Changes, std::move(delta)});
+    machine_budget_.spend(now, static_cast<double>(delta.bytes));
+    ++metrics_.changes;
+    metrics_.entry_bytes += delta.bytes;
+    answers.push_back({id, Answer::Kind::Changes, std::move(delta)});
     return true;
 }
 
-bool Delivery::answer_whole(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out) {
-    if (whole_to_ || !machine_.ready(now))
+bool Delivery::answer_complete_list(CallerId id, Caller &caller, Micros now, std::vector<Answer> &answers) {
+    if (complete_list_receiver_ || !machine_budget_.ready(now))
         return false;
-    whole_to_ = id;
+    complete_list_receiver_ = id;
     Delta delta = log_.whole();
-    caller.urgent_told = delta.revision;
-    machine_.spend(now, static_cast<double>(delta.bytes));
-    ++figures_.whole;
-    figures_.entry_bytes += delta.bytes;
-    out.push_back({id, Answer::Kind::Whole, std::move(delta)});
+    caller.urgent_sent_revision = delta.revision;
+    machine_budget_.spend(now, static_cast<double>(delta.bytes));
+    ++metrics_.whole;
+    metrics_.entry_bytes += delta.bytes;
+    answers.push_back({id, Answer::Kind::CompleteList, std::move(delta)});
     return true;
 }
 
-// Its time is up: it holds what it held, and asks again.
-void Delivery::answer_late(CallerId id, Caller &caller, std::vector<Answer> &out) {
-    const Need lacks = need(caller);
-    const bool behind = lacks == Need::Behind || !caller.since;
-    ++(behind ? figures_.behind : figures_.nothing);
-    out.push_back({id,
-                   behind ? Answer::Kind::Behind : Answer::Kind::Nothing,
-                   {caller.since.value_or(0), false, {}, 0}});
+// The call has expired: the caller keeps its list, and calls again.
+void Delivery::answer_expired(CallerId id, Caller &caller, std::vector<Answer> &answers) {
+    const Need needed = need(caller);
+    const bool behind = needed == Need::Behind || !caller.since;
+    ++(behind ? metrics_.behind : metrics_.nothing);
+    answers.push_back({id,
+                       behind ? Answer::Kind::Behind : Answer::Kind::NoChange,
+                       {caller.since.value_or(0), false, {}, 0}});
 }
 
 void Delivery::end_call(CallerId id, Caller &caller) {
-    pending_.erase(id);
-    expiries_.erase({caller.until, id});
-    caller.waiting = caller.put_off = false;
+    answerable_.erase(id);
+    expiries_.erase({caller.expires_at, id});
+    caller.call_open = caller.call_deferred = false;
 }
 
-void Delivery::put_off(Caller &caller) {
-    if (!std::exchange(caller.put_off, true))
-        ++figures_.put_off;
+void Delivery::mark_deferred(Caller &caller) {
+    if (!std::exchange(caller.call_deferred, true))
+        ++metrics_.put_off;
 }
 
-std::optional<Micros> Delivery::next(Micros now) const {
+std::optional<Micros> Delivery::next_due_at(Micros now) const {
     if (expiries_.empty())
         return std::nullopt;
-    Micros first = expiries_.begin()->first;
-    const Micros machine = machine_.ready_at(now);
-    for (const CallerId id : pending_) {
+    Micros earliest = expiries_.begin()->first;
+    const Micros machine_ready_at = machine_budget_.ready_at(now);
+    for (const CallerId id : answerable_) {
         const Caller &caller = callers_.at(id);
-        const Need lacks = need(caller);
-        if (lacks == Need::Changes)
-            first = std::min(first, std::max(machine, caller.budget.ready_at(now)));
-        if (lacks == Need::Whole && !whole_to_)
-            first = std::min(first, machine);
+        const Need needed = need(caller);
+        if (needed == Need::Changes)
+            earliest = std::min(earliest, std::max(machine_ready_at, caller.budget.ready_at(now)));
+        if (needed == Need::CompleteList && !complete_list_receiver_)
+            earliest = std::min(earliest, machine_ready_at);
     }
-    return std::max(first, now);
+    return std::max(earliest, now);
 }
 
 std::map<Revision, std::size_t> Delivery::revisions_held() const {
-    std::map<Revision, std::size_t> held;
+    std::map<Revision, std::size_t> callers_by_revision;
     for (const auto &[id, caller] : callers_)
-        if (caller.held)
-            ++held[*caller.held];
-    return held;
+        if (caller.reported_revision)
+            ++callers_by_revision[*caller.reported_revision];
+    return callers_by_revision;
 }
 
 } // namespace marblewood::distribution
--- a/src/distribution/delivery.hpp
+++ b/src/distribution/delivery.hpp
@@ -1,19 +1,20 @@
-// Decides which caller of a distributor gets which answer, and when: changes by revision, within a byte
-// budget for each caller and one for the machine. Free of I/O and clock; the caller of this class does both.
-//
-// Bounds promised, for a caller that asks again at once after each answer:
-// - An urgent change (a member drains, was removed or holds another shard) is answered in the call of due()
-// that follows it,
-//   whatever the budgets say.
-// - Any other change is answered once the caller's budget and the machine's are ready. Bytes of changes that
-//   are not urgent stay, in any time T, within burst + rate * T and one answer, for the caller and for the
-//   machine.
-// - A whole list is sent only where the log does not reach, one at a time, when the machine's budget is
-// ready;
-//   to who is furthest behind first.
-// - No answer holds a lower revision than the caller's own. A caller that holds a higher one than the log is
-//   told so (Behind) when its time is up, and not before.
-// - Each call is answered exactly once, at its `until` at the latest and the next call of due().
+/// \file
+/// Decides when a distributor answers each caller and with what: changes revision by revision, within a byte
+/// budget for each caller and one for the whole machine. No I/O and no clock: the user of this class provides
+/// both.
+///
+/// Guarantees, for a caller that calls again immediately after each answer:
+/// - An urgent change (a member is draining, was removed or moved to another shard) is answered by the next
+///   answer_due_calls(), regardless of the budgets.
+/// - Any other change is answered once the budgets of the caller and of the machine are ready. In any time
+///   span T, the bytes of non-urgent changes are at most burst + rate * T plus one answer, for the caller and
+///   for the machine.
+/// - A complete list is sent only to a caller whose revision the log does not cover, one at a time, when the
+///   machine's budget is ready, and first to the caller that is furthest behind.
+/// - No answer has a lower revision than the caller's own. A caller whose revision is higher than the log's
+///   gets the answer Behind when its call expires, and not before.
+/// - Each call is answered exactly once, at the latest by the first answer_due_calls() at or after its
+///   `expires_at`.
 #pragma once
 
 #include "distribution/change_log.hpp"
@@ -33,20 +34,23 @@
 
 struct Answer {
     enum class Kind {
-        Nothing, ///< no change in the caller's time; it holds what it held
+        NoChange, ///< the call expired before changes could be sent; the caller keeps its list
         Changes,
-        Whole,
-        Behind ///< this log is empty, or older than the caller's list: it should ask elsewhere
+        CompleteList,
+        /// The log is empty or older than the caller's list, or no complete list could be sent in time: the
+        /// caller should call another distributor.
+        Behind
     };
     CallerId caller = 0;
-    Kind kind = Kind::Nothing;
-    Delta delta; ///< refers to the log, which must not be changed meanwhile
+    Kind kind = Kind::NoChange;
+    Delta delta; ///< refers to the log, which must not change while the answer is in use
 };
 
-struct DeliveryFigures { // counts since the start
+/// Counts since the start.
+struct DeliveryMetrics {
     std::uint64_t calls = 0, nothing = 0, changes = 0, whole = 0, behind = 0;
-    std::uint64_t entry_bytes = 0; // of members' entries
-    std::uint64_t put_off = 0;     // answers that waited for a budget
+    std::uint64_t entry_bytes = 0; ///< of the members' entries in all answers
+    std::uint64_t put_off = 0;     ///< calls that waited for a budget, or for another caller's complete list
 };
 
 class Delivery {
@@ -55,52 +59,56 @@
 
     CallerId connect(Micros now);
     void disconnect(CallerId id);
-    /// The caller holds `since`, or nothing and wants the whole list, and waits until `until`.
-    void ask(CallerId id, std::optional<Revision> since, Micros until);
-    /// The log has changed.
-    void published();
-    /// A whole list was written, or its caller has gone: the next may begin.
-    void whole_written(CallerId id);
+    /// Starts a call. The caller holds revision `since`, or has no list and requests the complete one, and
+    /// waits for an answer until `expires_at`.
+    void start_call(CallerId id, std::optional<Revision> since, Micros expires_at);
+    /// Has to be called after each change of the log.
+    void on_log_changed();
+    /// Has to be called when a complete list has been written, or its write has failed; the next complete
+    /// list may then be sent. No effect for other callers.
+    void complete_list_written(CallerId id);
 
-    /// The answers that are due, in the order in which they should be written. Each ends its call.
-    std::vector<Answer> due(Micros now);
-    /// When due() should be called next, if nothing else happens before.
-    std::optional<Micros> next(Micros now) const;
+    /// Ends the calls that can be answered now, and returns the answers in the order in which they should be
+    /// written.
+    std::vector<Answer> answer_due_calls(Micros now);
+    /// When answer_due_calls() has to be called next if nothing else happens before.
+    std::optional<Micros> next_due_at(Micros now) const;
 
-    const DeliveryFigures &figures() const { return figures_; }
+    const DeliveryMetrics &figures() const { return metrics_; }
     std::size_t callers() const { return callers_.size(); }
-    /// For each caller, the revision that it said it holds.
+    /// The number of callers by the revision that each reported in its last call.
     std::map<Revision, std::size_t> revisions_held() const;
 
 private:
     struct Caller {
         TokenBucket budget;
-        bool waiting = false;
-        bool put_off = false;
-        Micros until = 0;
+        bool call_open = false;
+        bool call_deferred = false;
+        Micros expires_at = 0;
         std::optional<Revision> since = {};
-        std::optional<Revision> held = {}; // as it said last
-        Revision urgent_told = 0;
+        std::optional<Revision> reported_revision = {}; ///< the `since` of its last call that had one
+        Revision urgent_sent_revision = 0;              ///< urgent changes up to this revision were sent
     };
-    enum class Need { None, Changes, Whole, Behind };
+    /// What the log has for an open call.
+    enum class Need { None, Changes, CompleteList, Behind };
 
     Need need(const Caller &caller) const;
-    std::vector<CallerId> by_need() const;
-    bool answer_changes(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out);
-    bool answer_whole(CallerId id, Caller &caller, Micros now, std::vector<Answer> &out);
-    void answer_late(CallerId id, Caller &caller, std::vector<Answer> &out);
+    std::vector<CallerId> callers_by_priority() const;
+    bool answer_changes(CallerId id, Caller &caller, Micros now, std::vector<Answer> &answers);
+    bool answer_complete_list(CallerId id, Caller &caller, Micros now, std::vector<Answer> &answers);
+    void answer_expired(CallerId id, Caller &caller, std::vector<Answer> &answers);
     void end_call(CallerId id, Caller &caller);
-    void put_off(Caller &caller);
+    void mark_deferred(Caller &caller);
 
     const ChangeLog &log_;
     DeliveryLimits limits_;
-    TokenBucket machine_;
+    TokenBucket machine_budget_;
     std::unordered_map<CallerId, Caller> callers_;
-    std::set<CallerId> pending_;                     // calls for which the log has something
-    std::set<std::pair<Micros, CallerId>> expiries_; // all calls, by when their time is up
-    std::optional<CallerId> whole_to_;               // a whole list is on its way there
-    CallerId last_ = 0;
-    DeliveryFigures figures_;
+    std::set<CallerId> answerable_; ///< callers with an open call that the log has an answer for
+    std::set<std::pair<Micros, CallerId>> expiries_; ///< all open calls, by the time at which they expire
+    std::optional<CallerId> complete_list_receiver_; ///< a complete list is being written to this caller
+    CallerId last_caller_id_ = 0;
+    DeliveryMetrics metrics_;
 };
 
 } // namespace marblewood::distribution
--- a/src/distribution/distributor_selector.cpp
+++ b/src/distribution/distributor_selector.cpp
@@ -13,9 +13,9 @@
     return from.zone == to.zone ? 0 : 1;
 }
 
-std::uint64_t rendezvous(const std::string &broker, const std::string &distributor) {
-    const std::string both = broker + '\n' + distributor;
-    return XXH3_64bits(both.data(), both.size());
+std::uint64_t rendezvous_hash(const std::string &broker, const std::string &distributor) {
+    const std::string key = broker + '\n' + distributor;
+    return XXH3_64bits(key.data(), key.size());
 }
 
 } // namespace
@@ -27,18 +27,18 @@
         candidates_.push_back({std::move(distributor)});
     const auto rank = [&](const Candidate &candidate) {
         const Distributor &distributor = candidate.distributor;
-        return std::tuple(distance(locality, distributor.locality), ~rendezvous(broker, distributor.name),
-                          std::cref(distributor.name).get());
+        return std::tuple(distance(locality, distributor.locality),
+                          ~rendezvous_hash(broker, distributor.name), std::cref(distributor.name).get());
     };
     std::sort(candidates_.begin(), candidates_.end(),
               [&](const Candidate &a, const Candidate &b) { return rank(a) < rank(b); });
 }
 
-void DistributorSelector::failed(Micros now) {
+void DistributorSelector::record_failure(Micros now) {
     Candidate &candidate = candidates_[current_];
-    candidate.avoided = std::clamp(2 * candidate.avoided, kLeastAvoided, kMostAvoided);
-    const auto jitter = random_() % static_cast<std::uint64_t>(candidate.avoided);
-    candidate.avoid_until = now + candidate.avoided + static_cast<Micros>(jitter);
+    candidate.avoidance = std::clamp(2 * candidate.avoidance, kMinAvoidance, kMaxAvoidance);
+    const auto jitter = random_() % static_cast<std::uint64_t>(candidate.avoidance);
+    candidate.avoid_until = now + candidate.avoidance + static_cast<Micros>(jitter);
     current_ = choose(now);
 }
 
--- a/src/distribution/report_book.cpp
+++ b/src/distribution/report_book.cpp
@@ -13,44 +13,45 @@
 }
 
 void ReportBook::put(const std::string &name, Entry entry) {
-    if (entries_.size() >= kMostReporters)
-        forget(entry.at);
-    if (entries_.size() < kMostReporters || entries_.contains(name))
+    if (entries_.size() >= kMaxReporters)
+        drop_expired(entry.received_at);
+    if (entries_.size() < kMaxReporters || entries_.contains(name))
         entries_[name] = std::move(entry);
 }
 
-void ReportBook::published(Revision version, Micros now) {
-    if (version <= newest_)
+void ReportBook::record_published(Revision version, Micros now) {
+    if (version <= newest_version_)
         return;
-    newest_ = version;
-    newest_at_ = now;
+    newest_version_ = version;
+    newest_published_at_ = now;
 }
 
-void ReportBook::forget(Micros now) {
-    std::erase_if(entries_, [now](const auto &entry) { return now - entry.second.at > kKept; });
+void ReportBook::drop_expired(Micros now) {
+    std::erase_if(entries_,
+                  [now](const auto &entry) { return now - entry.second.received_at > kReportLifetime; });
 }
 
-std::vector<Lacking> ReportBook::lacking(Micros now) const {
-    std::vector<Lacking> all;
+std::vector<LaggingBroker> ReportBook::lacking(Micros now) const {
+    std::vector<LaggingBroker> lagging;
     for (const auto &[name, entry] : entries_) {
-        if (now - entry.at > kKept)
+        if (now - entry.received_at > kReportLifetime)
             continue;
-        if (entry.version && *entry.version < newest_)
-            all.push_back({name, now - newest_at_});
+        if (entry.version && *entry.version < newest_version_)
+            lagging.push_back({name, now - newest_published_at_});
         if (!entry.version)
-            all.insert(all.end(), entry.subtree.lacking.begin(), entry.subtree.lacking.end());
+            lagging.insert(lagging.end(), entry.subtree.lacking.begin(), entry.subtree.lacking.end());
     }
-    std::stable_sort(all.begin(), all.end(),
-                     [](const Lacking &a, const Lacking &b) { return a.for_us > b.for_us; });
-    if (all.size() > kMostNamed)
-        all.resize(kMostNamed);
-    return all;
+    std::stable_sort(lagging.begin(), lagging.end(),
+                     [](const LaggingBroker &a, const LaggingBroker &b) { return a.for_us > b.for_us; });
+    if (lagging.size() > kMaxNamedBrokers)
+        lagging.resize(kMaxNamedBrokers);
+    return lagging;
 }
 
 SubtreeReport ReportBook::subtree(Micros now) const {
     SubtreeReport report;
     for (const auto &[name, entry] : entries_) {
-        if (now - entry.at > kKept)
+        if (now - entry.received_at > kReportLifetime)
             continue;
         if (entry.version)
             ++report.brokers[*entry.version];
@@ -65,7 +66,7 @@
     ReportSummary summary;
     for (const auto &[version, brokers] : subtree(now).brokers) {
         summary.brokers += brokers;
-        if (version >= newest_)
+        if (version >= newest_version_)
             summary.current += brokers;
     }
     summary.lacking = lacking(now);
--- a/src/distribution/report_book.hpp
+++ b/src/distribution/report_book.hpp
@@ -1,10 +1,12 @@
-// Which version of the configuration is in force where: brokers report theirs with each call, distributors
-// add up what they were told and report the sum to their parent, and an operator reads it at the top. Free of
-// I/O and clock.
-//
-// Bounds promised. A report counts for kKept after it came; whoever has not reported for longer is left out.
-// Of those that lack a version, kMostNamed are named, those that lack it the longest first; all are counted.
-// No more than kMostReporters are kept; whoever comes beyond them is not counted.
+/// \file
+/// Tracks which version of the configuration is in force on which brokers. Brokers report their version with
+/// each call, a distributor reports the sum of its reports to its parent, and an operator reads the total at
+/// the topmost distributor. No I/O and no clock.
+///
+/// Guarantees. A report counts for kReportLifetime after its arrival; reporters without a newer one are then
+/// left out. All brokers that lag behind the newest version are counted, and kMaxNamedBrokers of them are
+/// named, those that have lagged longest first. At most kMaxReporters reporters are kept; further ones are
+/// not counted.
 #pragma once
 
 #include "distribution/change_log.hpp"
@@ -12,53 +14,53 @@
 
 namespace marblewood::distribution {
 
-/// One broker that has not got the version in force at the top.
-struct Lacking {
+/// A broker on which the newest version is not in force yet.
+struct LaggingBroker {
     std::string broker;
-    Micros for_us = 0; // since the version was published where the book is kept
+    Micros for_us = 0; ///< since the distributor that the broker reports to published the version
 };
 
 struct ReportSummary {
-    std::size_t brokers = 0; // that report, directly or through others
-    std::size_t current = 0; // of those, how many have the version asked for
-    std::vector<Lacking> lacking;
+    std::size_t brokers = 0; ///< that report, directly or through other distributors
+    std::size_t current = 0; ///< the brokers on which the newest version is in force
+    std::vector<LaggingBroker> lacking;
 };
 
-/// What a distributor tells its parent: how many brokers have which version, and who lacks the newest.
+/// The report of a distributor to its parent.
 struct SubtreeReport {
-    std::map<Revision, std::size_t> brokers; // by version in force
-    std::vector<Lacking> lacking;
+    std::map<Revision, std::size_t> brokers; ///< number of brokers by the version in force on them
+    std::vector<LaggingBroker> lacking;
 };
 
 class ReportBook {
 public:
-    static constexpr Micros kKept = 15'000'000; // us
-    static constexpr std::size_t kMostNamed = 8;
-    static constexpr std::size_t kMostReporters = 20'000;
+    static constexpr Micros kReportLifetime = 15'000'000;
+    static constexpr std::size_t kMaxNamedBrokers = 8;
+    static constexpr std::size_t kMaxReporters = 20'000;
 
-    /// A broker has this version in force.
+    /// Records that `version` is in force on a broker.
     void report(const std::string &broker, Revision version, Micros now);
-    /// A distributor below has added up its own.
+    /// Records the sum of the reports that another distributor has received.
     void report(const std::string &distributor, SubtreeReport subtree, Micros now);
-    /// A newer version is to be in force.
-    void published(Revision version, Micros now);
+    /// Records the publication of a version; one that is not newer has no effect.
+    void record_published(Revision version, Micros now);
 
     ReportSummary summary(Micros now) const;
     SubtreeReport subtree(Micros now) const;
 
 private:
     struct Entry {
-        std::optional<Revision> version; // of a broker
-        SubtreeReport subtree;           // of a distributor
-        Micros at = 0;
+        std::optional<Revision> version; ///< set for a broker
+        SubtreeReport subtree;           ///< set for a distributor
+        Micros received_at = 0;
     };
-    std::vector<Lacking> lacking(Micros now) const;
-    void forget(Micros now);
+    std::vector<LaggingBroker> lacking(Micros now) const;
+    void drop_expired(Micros now);
     void put(const std::string &name, Entry entry);
 
     std::map<std::string, Entry> entries_;
-    Revision newest_ = 0;
-    Micros newest_at_ = 0;
+    Revision newest_version_ = 0;
+    Micros newest_published_at_ = 0;
 };
 
 } // namespace marblewood::distribution
--- a/src/list_distribution/document_watch.cpp
+++ b/src/list_distribution/document_watch.cpp
@@ -8,7 +8,7 @@
 namespace marblewood::list_distribution {
 namespace {
 
-/// The operations in force after a response; empty where it does not change them. Throws config::Error.
+/// The operations in force after a response; empty if it does not change them. Throws config::Error.
 std::optional<config::Operations> operations_in(const discovery::ListResponse &response) {
     std::optional<config::Operations> operations;
     if (response.update.kind == ListUpdate::Kind::Full)
@@ -67,7 +67,7 @@
         last_rejected_ = false;
     }
     if (last_rejected_)
-        return; // what is in force is still older
+        return; // an older version is still in force
     applied_version_ = response.revision;
     core::log("configuration_applied version={}", applied_version_);
 }
--- a/src/list_distribution/document_watch.hpp
+++ b/src/list_distribution/document_watch.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// A broker's watch on the documents of the configuration that may change while it serves. A document is
-/// applied whole or not at all: one that is wrong is counted, the log names its field, and what was applied
-/// before stays in force.
+/// A broker's watch on the configuration documents that may change while it serves. A document is applied
+/// completely or not at all: an invalid one is counted, its invalid field is logged, and the documents
+/// applied before stay in force.
 #pragma once
 
 #include "config/operations.hpp"
@@ -15,7 +15,7 @@
 
 namespace marblewood::list_distribution {
 
-/// How distributors are called: as a service that many share, not an agent on this machine.
+/// The options for calling distributors: they are shared services, not agents on this machine.
 discovery::WatchOptions shared_service(std::uint64_t seed);
 
 class DocumentWatch {
@@ -23,12 +23,12 @@
     using ApplyHandler =
         std::function<void(const config::Operations &operations, distribution::Revision version)>;
 
-    /// Calls the distributors that `selector` chooses from, and reports to them as `broker`.
+    /// Calls the distributors of `selector`, and reports to them under the name `broker`.
     DocumentWatch(boost::asio::io_context &io, core::Deadlines &deadlines,
                   distribution::DistributorSelector selector, std::string broker, std::uint64_t seed,
                   ApplyHandler apply);
 
-    /// The version whose documents are in force; 0 where there is none yet.
+    /// The version whose documents are in force; 0 if there is none yet.
     distribution::Revision applied_version() const { return applied_version_; }
     std::uint64_t rejected() const { return rejected_; }
     const discovery::DiscoveryMetrics &metrics() const { return client_->metrics(); }
--- a/src/list_distribution/list_call.cpp
+++ b/src/list_distribution/list_call.cpp
@@ -8,7 +8,7 @@
 namespace marblewood::list_distribution {
 namespace {
 
-constexpr std::size_t kMaxReportedVersions = 8; ///< that a report tells apart, the newest ones
+constexpr std::size_t kMaxReportedVersions = 8; ///< in a report; older versions are left out
 constexpr std::int64_t kMaxReportedBrokers = 1'000'000;
 constexpr std::int64_t kMaxLackingMillis = 1'000'000'000'000;
 constexpr std::int64_t kMicrosPerMilli = 1000;
@@ -18,11 +18,11 @@
     const char *const last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, value);
     if (text.empty() || error != std::errc() || end != last || value < 0)
-        throw std::runtime_error("not a number");
+        throw std::runtime_error("value is not a non-negative integer");
     return value;
 }
 
-/// A name as it may stand in a query.
+/// The name with all characters replaced that may not occur in a query.
 std::string sanitize(std::string name) {
     constexpr std::size_t kMaxNameBytes = 64;
     if (name.size() > kMaxNameBytes)
@@ -33,20 +33,21 @@
     return name;
 }
 
-/// Takes the text up to `separator`, and the separator, off the front of `rest`.
+/// Removes the text up to `separator`, and the separator, from the front of `rest`. Returns the text.
 std::string_view next_item(std::string_view &rest, char separator) {
     const std::string_view item = rest.substr(0, rest.find(separator));
     rest.remove_prefix(std::min(rest.size(), item.size() + 1));
     return item;
 }
 
-/// "NAME:NUMBER,NAME:NUMBER": calls `handle` with each pair. Throws std::runtime_error where malformed.
+/// Calls `handle` with each pair of "NAME:NUMBER,NAME:NUMBER". Throws std::runtime_error if the list is
+/// malformed.
 template <typename Handler> void parse_pairs(std::string_view list, Handler handle) {
     while (!list.empty()) {
         const std::string_view item = next_item(list, ',');
         const std::size_t colon = item.rfind(':');
         if (colon == std::string_view::npos || colon == 0)
-            throw std::runtime_error("not a pair");
+            throw std::runtime_error("item is not a NAME:NUMBER pair");
         handle(item.substr(0, colon), parse_number(item.substr(colon + 1)));
     }
 }
@@ -62,14 +63,14 @@
 
 void parse_lacking(std::string_view list, distribution::SubtreeReport &subtree) {
     parse_pairs(list, [&](std::string_view broker, std::int64_t millis) {
-        if (subtree.lacking.size() >= distribution::ReportBook::kMostNamed)
+        if (subtree.lacking.size() >= distribution::ReportBook::kMaxNamedBrokers)
             return;
         const Micros lacking_for = std::min(millis, kMaxLackingMillis) * kMicrosPerMilli;
         subtree.lacking.push_back({sanitize(std::string(broker)), lacking_for});
     });
 }
 
-/// The text behind `name`, where `item` begins with it.
+/// The rest of `item` if it begins with `name`.
 std::optional<std::string_view> value_of(std::string_view item, std::string_view name) {
     if (!item.starts_with(name))
         return std::nullopt;
@@ -109,7 +110,7 @@
     if (below.size() > kMaxReportedVersions)
         below.erase(below.begin(), below.end() - kMaxReportedVersions);
     std::vector<std::string> lacking;
-    for (const distribution::Lacking &broker : subtree.lacking)
+    for (const distribution::LaggingBroker &broker : subtree.lacking)
         lacking.push_back(fmt::format("{}:{}", sanitize(broker.broker), broker.for_us / kMicrosPerMilli));
     return fmt::format("&below={}&lacking={}", fmt::join(below, ","), fmt::join(lacking, ","));
 }
--- a/src/list_distribution/list_server.cpp
+++ b/src/list_distribution/list_server.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr std::size_t kMaxCallBytes = 8192;
-constexpr Micros kIdleTimeout = 75'000'000;     ///< us for a caller to begin its next call
-constexpr Micros kCallTimeout = 5'000'000;      ///< us for a call that has begun to come whole
-constexpr Micros kResponseTimeout = 10'000'000; ///< us for a caller to read its response
-/// us for which a call for the complete list waits for the byte budget before it is rejected.
+constexpr Micros kIdleTimeout = 75'000'000;     ///< until a caller begins its next call
+constexpr Micros kCallTimeout = 5'000'000;      ///< until a call that has begun is received completely
+constexpr Micros kResponseTimeout = 10'000'000; ///< until a caller has read its response
+/// How long a call for the complete list waits for the byte budget before it is rejected.
 constexpr Micros kCompleteListWait = 1'000'000;
 constexpr Micros kSecond = 1'000'000;
-/// Before the next accept after a failed one.
+/// The pause after a failed accept.
 constexpr auto kAcceptRetryPause = std::chrono::microseconds(10'000);
 
 std::string respond(int status, const char *reason, const std::string &body) {
@@ -48,12 +48,12 @@
 
 distribution::Taken ListServer::publish(Channel channel, const distribution::Update &update) {
     ServedChannel &served = channels_[static_cast<std::size_t>(channel)];
-    const distribution::Taken taken = served.log.take(update);
+    const distribution::Taken taken = served.log.apply(update);
     if (taken == distribution::Taken::Older)
         return taken;
     if (channel == Channel::Documents)
-        reports_.published(update.revision, deadlines_.clock.now());
-    served.delivery.published();
+        reports_.record_published(update.revision, deadlines_.clock.now());
+    served.delivery.on_log_changed();
     deliver();
     return taken;
 }
@@ -68,15 +68,15 @@
         reports_.report(report.caller, *report.applied, now);
 }
 
-// Hands out the responses that are due, and sets the timer for the next ones.
+// Passes on the responses that are due, and sets the timer for the next ones.
 void ListServer::deliver() {
     const Micros now = deadlines_.clock.now();
     std::optional<Micros> next;
     for (std::size_t channel = 0; channel < kChannelCount; ++channel) {
         distribution::Delivery &delivery = channels_[channel].delivery;
-        for (const distribution::Answer &answer : delivery.due(now))
+        for (const distribution::Answer &answer : delivery.answer_due_calls(now))
             callers_by_id_[channel].at(answer.caller)->responses.put(respond(answer));
-        if (const auto due = delivery.next(now))
+        if (const auto due = delivery.next_due_at(now))
             next = std::min(*due, next.value_or(*due));
     }
     next_delivery_.reset();
@@ -125,7 +125,7 @@
         callers_by_id_[channel].erase(caller->ids[channel]);
     }
     callers_.erase(caller);
-    deliver(); // a complete list that did not arrive gives way to the next one
+    deliver(); // the next complete list may be sent if this caller was receiving one
 }
 
 asio::awaitable<void> ListServer::serve(CallerIterator caller) {
@@ -136,7 +136,7 @@
     remove_caller(caller);
 }
 
-// False: the connection has ended or is of no more use.
+// Returns false if the connection was closed or must be closed.
 asio::awaitable<bool> ListServer::serve_call(Caller &caller, std::string &received) {
     std::optional<ListCall> call;
     try {
@@ -161,16 +161,16 @@
     const distribution::CallerId id = caller.ids[channel];
     distribution::Delivery &delivery = channels_[channel].delivery;
     const Micros wait = call.since ? call.wait : kCompleteListWait;
-    delivery.ask(id, call.since, deadlines_.clock.now() + wait);
+    delivery.start_call(id, call.since, deadlines_.clock.now() + wait);
     deliver();
     std::string response = co_await caller.responses.take();
     const bool sent = co_await send(caller, std::move(response));
-    delivery.whole_written(id);
+    delivery.complete_list_written(id);
     deliver();
     co_return sent;
 }
 
-// Empty: the connection has ended. Throws std::runtime_error where the call is malformed or too long.
+// Empty if the connection was closed. Throws std::runtime_error if the call is malformed or too long.
 asio::awaitable<std::optional<net::http::Request>> ListServer::receive(Caller &caller,
                                                                        std::string &received) {
     const auto close = [&caller] { caller.close(); };
--- a/src/list_distribution/list_server.hpp
+++ b/src/list_distribution/list_server.hpp
@@ -1,11 +1,12 @@
 /// \file
-/// Serves nodes, and documents of the configuration, over HTTP in discovery's form: complete lists, and long
-/// polls for what has changed. Which caller gets what and when is decided by distribution::Delivery.
+/// Serves the list of nodes and the configuration documents over HTTP, with the same protocol as discovery:
+/// complete lists, and long polls for changes. distribution::Delivery decides when to answer each caller and
+/// with what.
 ///
-/// A call that is malformed, too long or slow to come is answered with an error, or its connection closed; so
-/// is a connection beyond the limit. Nothing that a caller sends changes a list.
+/// A malformed or too long call is answered with an error and its connection is closed. A connection on which
+/// a call does not arrive in time, or that exceeds the limit, is closed. Callers cannot change a list.
 ///
-/// Threads: all of it runs on the io_context's one thread.
+/// Not thread-safe: everything runs on the io_context's only thread.
 #pragma once
 
 #include "core/mailbox.hpp"
@@ -28,22 +29,22 @@
     std::uint64_t malformed = 0; ///< calls
     std::uint64_t received_bytes = 0;
     std::uint64_t sent_bytes = 0;
-    std::uint64_t peak_second_bytes = 0; ///< the most that was sent within one second of the clock
+    std::uint64_t peak_second_bytes = 0; ///< maximum of the bytes sent within a second of the clock
 };
 
 struct ListServerLimits {
     distribution::DeliveryLimits delivery;
-    std::size_t removed_members = 0; ///< that a change log keeps
-    std::size_t callers = 0;         ///< connections at a time
+    std::size_t removed_members = 0; ///< maximum of removed members in a change log
+    std::size_t callers = 0;         ///< maximum of simultaneous connections
 };
 
 class ListServer {
 public:
-    /// Serves on `acceptor` until the io_context ends.
+    /// Serves on `acceptor` until the io_context is stopped.
     ListServer(asio::io_context &io, core::Deadlines &deadlines, tcp::acceptor acceptor,
                const ListServerLimits &limits);
 
-    /// Publishes what a source has answered; an older revision changes nothing.
+    /// Publishes an update of the channel's source. One that is not newer changes nothing.
     distribution::Taken publish(Channel channel, const distribution::Update &update);
 
     const distribution::ChangeLog &log(Channel channel) const { return served_by(channel).log; }
@@ -53,7 +54,7 @@
     std::size_t callers() const { return callers_.size(); }
 
 private:
-    /// One channel; its delivery refers to its log.
+    /// The state of one channel. Its delivery refers to its log, so it must not be copied.
     struct ServedChannel {
         ServedChannel(const ServedChannel &) = delete;
         ServedChannel(const ListServerLimits &limits, Micros now)
@@ -61,7 +62,7 @@
         distribution::ChangeLog log;
         distribution::Delivery delivery;
     };
-    /// One connection, which is a caller of its own in each channel.
+    /// One connection. It has a separate caller id in each channel.
     struct Caller {
         explicit Caller(tcp::socket accepted)
             : socket(std::move(accepted)), responses(socket.get_executor()) {}
--- a/tests/distribute_test.cpp
+++ b/tests/distribute_test.cpp
@@ -1,5 +1,7 @@
-// Distributors as processes between a discovery and brokers: what is changed reaches brokers while one is
-// lost, silent or behind, and nothing that a discovery or a caller sends spoils the list.
+/// \file
+/// Distributors as processes between discovery and brokers. Changes must reach the brokers while one
+/// distributor has failed, hangs or is behind, and no data from discovery or from callers may corrupt the
+/// list.
 #include "helper.hpp"
 
 using namespace test;
@@ -7,7 +9,7 @@
 
 namespace {
 
-constexpr auto kInForce = 7s; // from a change in discovery to every broker
+constexpr auto kMaxUpdateDelay = 7s; // from a change in discovery until all brokers have applied it
 
 std::string members(int count, const std::string &phase = "up") {
     std::string all;
@@ -16,13 +18,13 @@
     return all;
 }
 
-// A folder that goes with its test.
-class Folder {
+/// Deletes the folder in its destructor.
+class TemporaryFolder {
 public:
-    Folder() : path_(std::filesystem::temp_directory_path() / "marblewood-distribute-XXXXXX") {
+    TemporaryFolder() : path_(std::filesystem::temp_directory_path() / "marblewood-distribute-XXXXXX") {
         assert(::mkdtemp(path_.data()));
     }
-    ~Folder() { std::filesystem::remove_all(path_); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path_); }
     std::string file(const std::string &name) const { return path_ + "/" + name; }
     const std::string &path() const { return path_; }
 
@@ -45,7 +47,7 @@
         for (int n = 0; n < 500 && operators_call(control, "GET", "health").first != 200; ++n)
             std::this_thread::sleep_for(10ms);
     }
-    long figure(const std::string &name) const { // behind `distribution.`
+    long figure(const std::string &name) const { // without the prefix `distribution.`
         const auto [status, body] = operators_call(control, "GET", "stats");
         assert(status == 200);
         const std::size_t at = body.find("distribution." + name + ":");
@@ -66,25 +68,25 @@
 
 private:
     const std::string name_;
-    Folder folder_;
+    TemporaryFolder folder_;
 };
 
-std::string operators_file(const std::vector<const Distributor *> &distributors) {
+std::string operator_file(const std::vector<const Distributor *> &distributors) {
     std::string entries;
     for (const Distributor *distributor : distributors)
         entries += (entries.empty() ? "" : ",") + distributor->entry();
     return fmt::format(R"({{"distribution":{{"zone":"a","region":"r","distributors":[{}]}}}})", entries);
 }
 
-void await_nodes(const Program &broker, long count, Clock::time_point changed) {
+void await_node_count(const Program &broker, long count, Clock::time_point changed) {
     while (broker.figures().at("cluster_size") != count) {
-        assert(Clock::now() - changed < kInForce);
+        assert(Clock::now() - changed < kMaxUpdateDelay);
         std::this_thread::sleep_for(20ms);
     }
 }
 
-// One call, on a connection of its own: the status and the body.
-std::pair<int, std::string> ask(int port, const std::string &target) {
+/// Sends one call on a new connection. Returns the status and the body.
+std::pair<int, std::string> http_get(int port, const std::string &target) {
     Socket caller = Socket::to(port);
     caller.send(fmt::format("GET {} HTTP/1.1\r\nHost: d\r\n\r\n", target));
     while (caller.in.find("\r\n\r\n") == std::string::npos)
@@ -96,33 +98,33 @@
     return {std::atoi(caller.in.c_str() + 9), caller.in.substr(body)};
 }
 
-std::string answer_of(int revision, const std::string &body, bool complete) {
+std::string list_body(int revision, const std::string &body, bool complete) {
     return fmt::format(R"({{"revision":{},"complete":{},"members":[{}]}})", revision, complete, body);
 }
-std::string spell(const std::string &body) {
+std::string http_response(const std::string &body) {
     return fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
 }
 
-// What operators tell all brokers goes through two levels, is taken whole or not at all, and is reported
-// back.
+// What operators tell all brokers goes through two levels, is applied completely or not at all, and the
+// version in force is reported back.
 void documents_reach_brokers_and_reports_come_back() {
     Discovery discovery(members(3));
-    const Folder folder;
+    const TemporaryFolder folder;
     const auto write = [&](const std::string &text) { std::ofstream(folder.file("documents.json")) << text; };
     write(R"({"version":1,"operations":{"cordons":[]}})");
     Distributor top(discovery.port(), "d0",
                     fmt::format(R"(,"documents":{{"file":"{}"}})", folder.file("documents.json")));
     Distributor below(
-        top.port, "d1", // which has the list from there, too
+        top.port, "d1", // also gets the list from the first one
         fmt::format(R"(,"documents":{{"parents":[{{"name":"d0","address":"127.0.0.1:{}"}}]}})", top.port));
     below.await("members", 3);
-    std::string operators = operators_file({&below});
-    operators.insert(operators.find("\"zone\""), "\"documents\":true,");
-    Program broker(discovery, operators);
+    std::string operator_text = operator_file({&below});
+    operator_text.insert(operator_text.find("\"zone\""), "\"documents\":true,");
+    Program broker(discovery, operator_text);
     const auto in_force = [&] { return broker.figures().at("configuration_version"); };
     const auto await_version = [&](long version, Clock::time_point since) {
         while (in_force() != version) {
-            assert(Clock::now() - since < kInForce);
+            assert(Clock::now() - since < kMaxUpdateDelay);
             std::this_thread::sleep_for(20ms);
         }
     };
@@ -131,13 +133,13 @@
     top.child.signal(SIGHUP);
     await_version(2, Clock::now());
     assert(broker.figures().at("cluster_unhealthy") == 1);
-    top.await("documents.brokers_with_version", 1); // through the distributor below
+    top.await("documents.brokers_with_version", 1); // reported through the distributor `below`
     assert(top.figure("documents.brokers") == 1);
 
-    for (const char *const wrong :
+    for (const char *const invalid :
          {R"({"version":3,"operations":{"cordons":"all"}})", R"({"version":2,"operations":{"cordons":[]}})",
           R"({"version":1,"operations":{"cordons":[]}})", "{"}) {
-        write(wrong);
+        write(invalid);
         top.child.signal(SIGHUP);
     }
     std::this_thread::sleep_for(300ms);
@@ -150,17 +152,18 @@
     assert(broker.figures().at("configuration_refused") == 0);
 }
 
-// A distributor from later may carry what this broker can't read: what is in force stays, and is said so.
+// A newer distributor may send a document that this broker cannot decode. The document in force must stay,
+// and be reported as the one in force.
 void a_wrong_document_is_refused_by_the_broker() {
     Discovery discovery(members(2));
     std::atomic<int> version = 1;
     const auto document = [&]() -> std::string {
         const char *const operations = version == 2 ? R"({"cordons":[7]})" : R"({"cordons":["s-1"]})";
-        return answer_of(
+        return list_body(
             version, fmt::format(R"({{"id":"operations","phase":"up","document":{}}})", operations), true);
     };
     std::mutex mutex;
-    std::string applied; // as the broker said last
+    std::string applied; // as the broker last reported it
     Server distributor([&](Socket &s) {
         while (const auto head = next_head(s)) {
             if (head->find("/v1/documents") == std::string::npos)
@@ -172,15 +175,16 @@
             }
             if (number_behind(*head, "since=", -1) == version)
                 std::this_thread::sleep_for(50ms);
-            s.send(number_behind(*head, "since=", -1) == version ? spell(answer_of(version, "", false))
-                                                                 : spell(document()));
+            s.send(number_behind(*head, "since=", -1) == version
+                       ? http_response(list_body(version, "", false))
+                       : http_response(document()));
         }
     });
-    const std::string operators =
+    const std::string operator_text =
         fmt::format(R"({{"distribution":{{"zone":"a","region":"r","documents":true,"distributors":)"
                     R"([{{"name":"d0","address":"127.0.0.1:{}","zone":"a","region":"r"}}]}}}})",
                     distributor.port);
-    Program broker(discovery, operators);
+    Program broker(discovery, operator_text);
     const auto await = [&](const char *figure, long value) {
         for (int n = 0; n < 700 && broker.figures().at(figure) != value; ++n)
             std::this_thread::sleep_for(10ms);
@@ -191,7 +195,7 @@
     await("configuration_refused", 1);
     std::this_thread::sleep_for(300ms);
     assert(broker.figures().at("configuration_version") == 1);
-    assert(broker.figures().at("cluster_unhealthy") == 1); // as version 1 has it
+    assert(broker.figures().at("cluster_unhealthy") == 1); // the cordon of version 1
     {
         const std::lock_guard lock(mutex);
         assert(applied == "1");
@@ -202,8 +206,8 @@
     assert(broker.figures().at("configuration_refused") == 1);
 }
 
-// Which of the two the broker asks: the one with callers.
-Distributor &asked_of(Distributor &a, Distributor &b) {
+/// The one of the two distributors that the broker calls: the one with callers.
+Distributor &called_by_broker(Distributor &a, Distributor &b) {
     return a.figure("callers") > 0 ? a : b;
 }
 
@@ -211,27 +215,27 @@
     Discovery discovery(members(3));
     Distributor a(discovery.port(), "d0"), b(discovery.port(), "d1");
     a.await("members", 3), b.await("members", 3);
-    Program broker(discovery, operators_file({&a, &b}));
-    await_nodes(broker, 3, Clock::now());
+    Program broker(discovery, operator_file({&a, &b}));
+    await_node_count(broker, 3, Clock::now());
     discovery.change(members(4), member("s-3", 4, 3));
-    await_nodes(broker, 4, Clock::now());
+    await_node_count(broker, 4, Clock::now());
     while (a.figure("callers") + b.figure("callers") == 0)
         std::this_thread::sleep_for(10ms);
 
-    Distributor &silent = asked_of(a, b);
+    Distributor &silent = called_by_broker(a, b);
     silent.child.signal(SIGSTOP);
     discovery.change(members(5), member("s-4", 5, 4));
-    await_nodes(broker, 5, Clock::now());
+    await_node_count(broker, 5, Clock::now());
     Distributor &other = &silent == &a ? b : a;
     discovery.change(members(6), member("s-5", 6, 5));
-    await_nodes(broker, 6, Clock::now());
-    silent.child.signal(SIGCONT); // awake, with an old log
+    await_node_count(broker, 6, Clock::now());
+    silent.child.signal(SIGCONT); // continues with an outdated log
     silent.await("members", 6);
 
     other.child.kill();
     discovery.change(members(7), member("s-6", 7, 6));
-    await_nodes(broker, 7, Clock::now());
-    other.start(); // with nothing
+    await_node_count(broker, 7, Clock::now());
+    other.start(); // without a list
     other.await("members", 7);
     assert(a.figure("answers_whole") + b.figure("answers_whole") == 0);
 }
@@ -240,52 +244,53 @@
     Discovery discovery(members(2));
     discovery.failures = 1'000'000;
     const Distributor distributor(discovery.port());
-    assert(ask(distributor.port, "/v1/servers?since=0&timeout_ms=10").first == 503);
-    assert(ask(distributor.port, "/v1/servers").first == 503);
+    assert(http_get(distributor.port, "/v1/servers?since=0&timeout_ms=10").first == 503);
+    assert(http_get(distributor.port, "/v1/servers").first == 503);
     discovery.failures = 0;
     distributor.await("members", 2);
-    const auto [status, body] = ask(distributor.port, "/v1/servers");
+    const auto [status, body] = http_get(distributor.port, "/v1/servers");
     assert(status == 200 && body.find("\"complete\":true") != std::string::npos);
-    assert(body.find("\"flavor\":\"m\"") != std::string::npos); // passed on unread
-    const auto [again, same] = ask(distributor.port, "/v1/servers?since=1&timeout_ms=0");
+    assert(body.find("\"flavor\":\"m\"") != std::string::npos); // passed on without being interpreted
+    const auto [again, same] = http_get(distributor.port, "/v1/servers?since=1&timeout_ms=0");
     assert(again == 200 && same == R"({"revision":1,"complete":false,"members":[]})");
-    assert(ask(distributor.port, "/v1/servers?since=9&timeout_ms=0").first == 503); // it is behind
+    // The distributor is behind the caller.
+    assert(http_get(distributor.port, "/v1/servers?since=9&timeout_ms=0").first == 503);
 }
 
-// What a discovery that goes wrong may send: nothing of it is taken, and the list that is held stays.
+// Invalid answers of discovery must not be applied, and the known list must stay.
 void bad_answers_change_nothing() {
-    const std::string good = answer_of(40, members(2), true);
-    const std::string wrong[] = {
-        spell("{\"revision\":41,\"complete\":true,\"members\":[{"),               // malformed
-        spell(answer_of(41, R"({"id":"s-0","phase":"asleep","cell":0})", false)), // an unknown phase
-        spell(answer_of(41, R"({"phase":"up","cell":0})", true)),                 // nobody's
-        spell(answer_of(39, members(1), true)),                                   // older
-        spell(answer_of(39, member("s-0", 1, 0, "removed"), false)),              // replayed
-        spell("[1,2,3]"),                                                         // foreign
-        "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",                    // oversized
-        "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\":41",         // truncated
-        "HTTP/1.1 200 OK\r\n" + std::string(40'000, 'x'),                         // a head without end
+    const std::string good = list_body(40, members(2), true);
+    const std::string invalid[] = {
+        http_response("{\"revision\":41,\"complete\":true,\"members\":[{"),               // malformed
+        http_response(list_body(41, R"({"id":"s-0","phase":"asleep","cell":0})", false)), // an unknown phase
+        http_response(list_body(41, R"({"phase":"up","cell":0})", true)),                 // without an id
+        http_response(list_body(39, members(1), true)),                                   // older
+        http_response(list_body(39, member("s-0", 1, 0, "removed"), false)),              // replayed
+        http_response("[1,2,3]"),                                                         // not an object
+        "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",                            // oversized
+        "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\":41",                 // truncated
+        "HTTP/1.1 200 OK\r\n" + std::string(40'000, 'x'),                                 // an endless head
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
     };
-    std::atomic<std::size_t> told = 0;
+    std::atomic<std::size_t> answers_sent = 0;
     Server discovery([&](Socket &s) {
         while (const auto head = next_head(s)) {
-            if (head->find("since=") == std::string::npos && told == 0) {
-                s.send(spell(good));
+            if (head->find("since=") == std::string::npos && answers_sent == 0) {
+                s.send(http_response(good));
                 continue;
             }
-            const std::size_t n = told++;
-            if (n >= std::size(wrong)) {
-                s.send(spell(answer_of(42, member("s-9", 9, 9), false)));
+            const std::size_t n = answers_sent++;
+            if (n >= std::size(invalid)) {
+                s.send(http_response(list_body(42, member("s-9", 9, 9), false)));
                 std::this_thread::sleep_for(100ms);
                 continue;
             }
-            s.send(wrong[n]);
+            s.send(invalid[n]);
             return;
         }
     });
     const Distributor distributor(discovery.port);
-    while (told <= std::size(wrong)) {
+    while (answers_sent <= std::size(invalid)) {
         assert(distributor.figure("members") <= 3);
         const long revision = distributor.figure("revision");
         assert(revision == -1 || revision == 40 || revision == 42);
@@ -303,7 +308,7 @@
     distributor.await("members", 2);
     for (const char *const target : {"/v1/other", "/v1/servers?since=x", "/v1/servers?since=-1",
                                      "/v1/servers?since=1&timeout_ms=99999999999999999999"})
-        assert(ask(distributor.port, target).first == 400);
+        assert(http_get(distributor.port, target).first == 400);
     for (const std::string &text : {std::string("nonsense\r\n\r\n"), std::string(20'000, 'x'),
                                     std::string("POST /v1/servers HTTP/1.1\r\n\r\n")}) {
         Socket caller = Socket::to(distributor.port);
@@ -326,11 +331,11 @@
         std::this_thread::sleep_for(10ms);
 }
 
-// One line naming the field, and an exit code that is not 0.
+// An invalid configuration must be reported in one line that names the field, with a non-zero exit code.
 void a_bad_configuration_is_one_line() {
     const std::string rest = R"("listen":"127.0.0.1:1","zone":"a","region":"r")";
     const std::string parents = R"("parents":[{"name":"p","address":"127.0.0.1:1"}])";
-    const std::pair<std::string, std::string> wrong[] = {
+    const std::pair<std::string, std::string> invalid[] = {
         {"{" + rest + "," + parents + "}", "name"},
         {R"({"name":"d",)" + rest + R"(,"parents":[]})", "parents"},
         {R"({"name":"d",)" + rest + R"(,"parents":[{"name":"p","address":"nowhere"}]})", "parents.address"},
@@ -344,15 +349,15 @@
          "parents"},
         {"{", ""},
     };
-    for (const auto &[text, field] : wrong) {
-        const Folder folder;
+    for (const auto &[text, field] : invalid) {
+        const TemporaryFolder folder;
         std::ofstream(folder.file("distributor.json")) << text;
         Child child;
         child.start({"distribute", folder.file("distributor.json")}, folder.file("log"), folder.path(), 0);
         assert(child.exit_code() != 0);
-        std::ostringstream said;
-        said << std::ifstream(folder.file("log")).rdbuf();
-        const std::string line = said.str();
+        std::ostringstream output;
+        output << std::ifstream(folder.file("log")).rdbuf();
+        const std::string line = output.str();
         assert(std::count(line.begin(), line.end(), '\n') == 1);
         if (line.find(field) == std::string::npos)
             fmt::print("{}: {}", field, line);
@@ -361,7 +366,7 @@
 }
 
 void a_brokers_own_part_is_checked() {
-    const Folder folder;
+    const TemporaryFolder folder;
     std::ofstream(folder.file("config.json")) << fmt::format(
         R"({{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{}}})", kSettings);
     for (const auto &[part, field] :
@@ -375,9 +380,9 @@
                      folder.file("operator.json")},
                     folder.file("log"), folder.path(), 0);
         assert(child.exit_code() == 1);
-        std::ostringstream said;
-        said << std::ifstream(folder.file("log")).rdbuf();
-        assert(said.str().find(field) != std::string::npos);
+        std::ostringstream output;
+        output << std::ifstream(folder.file("log")).rdbuf();
+        assert(output.str().find(field) != std::string::npos);
     }
 }
 
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -1,5 +1,7 @@
-// What distributors decide: the log of changes, who gets what when, and whom a broker asks; each against a
-// plain model, and all together in random schedules with loss, delay, pauses and restarts.
+/// \file
+/// The decisions of distributors and of the brokers that call them: the change log, the delivery of answers,
+/// the reports, and the selection of a distributor. Each is tested on its own, and the change log, the
+/// delivery and the selection together in random schedules with loss, delay, pauses and restarts.
 #include "config/operations.hpp"
 #include "core/endpoint_list.hpp"
 #include "distribution/delivery.hpp"
@@ -22,21 +24,22 @@
 class Random {
 public:
     explicit Random(std::uint64_t seed) : engine_(seed) {}
-    std::uint64_t part(std::uint64_t most) { return engine_() % (most + 1); } // 0 to `most`
+    std::uint64_t pick(std::uint64_t max) { return engine_() % (max + 1); } // 0 to `max`
     bool chance(double p) { return static_cast<double>(engine_() >> 11) * 0x1.0p-53 < p; }
 
 private:
     std::mt19937_64 engine_;
 };
 
-// A member's text names it and the version of it, so that an older state can be told.
-using List = std::map<std::string, std::pair<std::string, Phase>>; // by id, members that are not removed
+/// The members that are not removed, by id. A member's text is its id and the revision of its last change, so
+/// that an outdated state can be recognized.
+using List = std::map<std::string, std::pair<std::string, Phase>>;
 
 std::string id_of(std::string_view text) {
     return std::string(text.substr(0, text.find(':')));
 }
 
-// What discovery holds: every member that ever was, and when it changed last.
+/// A model of discovery: all members, removed ones too, and the revision in which each last changed.
 class Source {
 public:
     explicit Source(int members) {
@@ -49,9 +52,9 @@
     }
     void change_at_random(Random &random, int members) {
         ++revision_;
-        for (std::uint64_t n = 0; n <= random.part(2); ++n) {
-            const auto kind = random.part(5);
-            put("s-" + std::to_string(random.part(static_cast<std::uint64_t>(members - 1))),
+        for (std::uint64_t n = 0; n <= random.pick(2); ++n) {
+            const auto kind = random.pick(5);
+            put("s-" + std::to_string(random.pick(static_cast<std::uint64_t>(members - 1))),
                 kind == 0   ? Phase::Removed
                 : kind == 1 ? Phase::Draining
                             : Phase::Up);
@@ -93,7 +96,7 @@
     Revision revision_ = 0;
 };
 
-// What one who is answered makes of it, as a broker does.
+/// Applies an answer to a list, as a broker does.
 void apply(List &list, bool complete, const std::vector<std::pair<std::string, Phase>> &entries) {
     if (complete)
         list.clear();
@@ -115,28 +118,28 @@
         SCOPED_TRACE(seed);
         Random random(seed);
         Source source(10);
-        ChangeLog log(random.part(6));
-        ASSERT_EQ(log.take(source.whole()), Taken::Yes);
+        ChangeLog log(random.pick(6));
+        ASSERT_EQ(log.apply(source.whole()), Taken::Yes);
         List held = source.list();
-        Revision revision = log.revision(), urgent_told = 0;
+        Revision revision = log.revision(), urgent_sent_revision = 0;
         for (int n = 0; n < 40; ++n) {
             const Revision before = source.revision();
-            for (std::uint64_t more = random.part(4); more > 0; --more)
+            for (std::uint64_t more = random.pick(4); more > 0; --more)
                 source.change_at_random(random, 14);
-            ASSERT_EQ(log.take(random.chance(0.2) ? source.whole() : source.since(before)), Taken::Yes);
+            ASSERT_EQ(log.apply(random.chance(0.2) ? source.whole() : source.since(before)), Taken::Yes);
             if (!random.chance(0.4))
                 continue;
-            const bool reaches = log.reaches(revision);
-            const Delta delta =
-                reaches ? log.changes(revision, random.part(200), random.chance(0.5) ? urgent_told : 0)
-                        : log.whole();
-            const bool behind = reaches && log.revision() > revision;
+            const bool covered = log.covers(revision);
+            const Delta delta = covered ? log.changes(revision, random.pick(200),
+                                                      random.chance(0.5) ? urgent_sent_revision : 0)
+                                        : log.whole();
+            const bool behind = covered && log.revision() > revision;
             ASSERT_GE(delta.revision, behind ? revision + 1 : revision);
-            urgent_told = log.revision();
+            urgent_sent_revision = log.revision();
             revision = delta.revision;
             apply(held, delta.complete, copy(delta));
         }
-        const Delta rest = log.reaches(revision) ? log.changes(revision, 1'000'000, 0) : log.whole();
+        const Delta rest = log.covers(revision) ? log.changes(revision, 1'000'000, 0) : log.whole();
         apply(held, rest.complete, copy(rest));
         ASSERT_EQ(held, source.list());
         ASSERT_EQ(rest.revision, source.revision());
@@ -146,46 +149,48 @@
 TEST(ChangeLog, TakesNothingOlderAndNoChangesToAListItDoesNotHave) {
     Source source(3);
     ChangeLog log(10);
-    EXPECT_EQ(log.take(source.since(0)), Taken::Older);
+    EXPECT_EQ(log.apply(source.since(0)), Taken::Older);
     EXPECT_TRUE(log.empty());
     const Update first = source.whole();
-    EXPECT_EQ(log.take(first), Taken::Yes);
+    EXPECT_EQ(log.apply(first), Taken::Yes);
     source.change("s-1", Phase::Draining);
-    EXPECT_EQ(log.take(source.since(first.revision)), Taken::Yes);
-    EXPECT_EQ(log.take(first), Taken::Older);
+    EXPECT_EQ(log.apply(source.since(first.revision)), Taken::Yes);
+    EXPECT_EQ(log.apply(first), Taken::Older);
     EXPECT_EQ(log.revision(), source.revision());
-    EXPECT_TRUE(log.urgent_after(first.revision));
-    EXPECT_FALSE(log.urgent_after(source.revision()));
+    EXPECT_TRUE(log.has_urgent_after(first.revision));
+    EXPECT_FALSE(log.has_urgent_after(source.revision()));
 }
 
 TEST(ChangeLog, TellsUrgentChangesFromOthers) {
     ChangeLog log(10);
-    log.take({1, true, {{"a", "a:1", Phase::Up, 1}, {"b", "b:1", Phase::Up, 2}}});
+    log.apply({1, true, {{"a", "a:1", Phase::Up, 1}, {"b", "b:1", Phase::Up, 2}}});
     const auto urgent_after = [&](Update update) {
         const Revision before = log.revision();
-        EXPECT_EQ(log.take(update), Taken::Yes);
-        return log.urgent_after(before);
+        EXPECT_EQ(log.apply(update), Taken::Yes);
+        return log.has_urgent_after(before);
     };
-    EXPECT_FALSE(urgent_after({2, false, {{"a", "a:2", Phase::Up, 1}}})); // it has started anew
-    EXPECT_TRUE(urgent_after({3, false, {{"a", "a:3", Phase::Up, 2}}}));  // it holds another shard
+    EXPECT_FALSE(urgent_after({2, false, {{"a", "a:2", Phase::Up, 1}}})); // it has restarted
+    EXPECT_TRUE(urgent_after({3, false, {{"a", "a:3", Phase::Up, 2}}}));  // it has moved to another shard
     EXPECT_TRUE(urgent_after({4, false, {{"b", "b:4", Phase::Draining, 2}}}));
     EXPECT_TRUE(urgent_after({5, false, {{"b", "b:5", Phase::Removed, 2}}}));
-    EXPECT_FALSE(urgent_after({6, false, {{"b", "b:6", Phase::Up, 9}}})); // it is new again
+    // A removed member that is listed again counts as a new one.
+    EXPECT_FALSE(urgent_after({6, false, {{"b", "b:6", Phase::Up, 9}}}));
     EXPECT_FALSE(urgent_after({7, false, {{"c", "c:7", Phase::Up, 3}}}));
-    EXPECT_TRUE(urgent_after({8, true, {{"a", "a:3", Phase::Up, 2}, {"c", "c:7", Phase::Up, 3}}})); // b went
+    // A complete list without b removes b.
+    EXPECT_TRUE(urgent_after({8, true, {{"a", "a:3", Phase::Up, 2}, {"c", "c:7", Phase::Up, 3}}}));
 }
 
 TEST(ChangeLog, RemembersOnlySoManyRemovals) {
     Source source(50);
     ChangeLog log(5);
-    log.take(source.whole());
+    log.apply(source.whole());
     const Revision first = log.revision();
     for (int n = 0; n < 20; ++n) {
         const Revision before = source.revision();
         source.change("s-" + std::to_string(n), Phase::Removed);
-        log.take(source.since(before));
-        EXPECT_EQ(log.reaches(first), n < 5);
-        EXPECT_TRUE(log.reaches(log.oldest()));
+        log.apply(source.since(before));
+        EXPECT_EQ(log.covers(first), n < 5);
+        EXPECT_TRUE(log.covers(log.oldest()));
     }
     EXPECT_EQ(log.size(), 30u);
     EXPECT_EQ(log.whole().entries.size(), 30u);
@@ -197,13 +202,13 @@
         const ByteBudget budget{100, 1'000};
         TokenBucket bucket(budget, 0);
         std::deque<std::pair<Micros, double>> sent;
-        for (Micros now = 0; now < 60'000'000; now += 1 + static_cast<Micros>(random.part(500'000))) {
+        for (Micros now = 0; now < 60'000'000; now += 1 + static_cast<Micros>(random.pick(500'000))) {
             if (!bucket.ready(now)) {
                 ASSERT_GT(bucket.ready_at(now), now);
                 continue;
             }
             ASSERT_EQ(bucket.ready_at(now), now);
-            sent.emplace_back(now, 1 + static_cast<double>(random.part(400)));
+            sent.emplace_back(now, 1 + static_cast<double>(random.pick(400)));
             bucket.spend(now, sent.back().second);
         }
         for (std::size_t first = 0; first < sent.size(); ++first) {
@@ -217,17 +222,18 @@
     }
 }
 
-constexpr DeliveryLimits kTight{{100, 300}, {1'000, 2'000}};
+constexpr DeliveryLimits kTightLimits{{100, 300}, {1'000, 2'000}};
 
-// Many callers of one distributor that ask again at once, and some that are slow to read.
+// Many callers of one distributor call again immediately after each answer, and complete lists take time to
+// write.
 TEST(Delivery, KeepsItsBudgetsAndAnswersEachCallOnceInTime) {
     for (std::uint64_t seed = 0; seed < 1'000; ++seed) {
         SCOPED_TRACE(seed);
         Random random(seed);
         Source source(20);
         ChangeLog log(5);
-        log.take(source.whole());
-        Delivery delivery(log, kTight, 0);
+        log.apply(source.whole());
+        Delivery delivery(log, kTightLimits, 0);
         struct Caller {
             CallerId id;
             Revision since;
@@ -236,43 +242,43 @@
         };
         std::vector<Caller> callers;
         for (int n = 0; n < 8; ++n) {
-            callers.push_back({delivery.connect(0), static_cast<Revision>(random.part(20)), 0, {}});
-            callers.back().until = static_cast<Micros>(random.part(3'000'000));
-            delivery.ask(callers.back().id, callers.back().since, callers.back().until);
+            callers.push_back({delivery.connect(0), static_cast<Revision>(random.pick(20)), 0, {}});
+            callers.back().until = static_cast<Micros>(random.pick(3'000'000));
+            delivery.start_call(callers.back().id, callers.back().since, callers.back().until);
         }
-        CallerId whole_to = 0; // 0: nobody
-        Micros whole_until = 0;
+        CallerId complete_list_receiver = 0; // 0: none is being written
+        Micros complete_list_written_at = 0;
         for (Micros now = 0; now < 20'000'000; now += 50'000) {
             const Revision before = source.revision();
             if (now < 15'000'000 && random.chance(0.1))
                 source.change_at_random(random, 24);
             if (source.revision() > before) {
-                log.take(source.since(before));
-                delivery.published();
+                log.apply(source.since(before));
+                delivery.on_log_changed();
             }
-            if (whole_to != 0 && now >= whole_until)
-                delivery.whole_written(std::exchange(whole_to, 0));
-            for (const Answer &answer : delivery.due(now)) {
+            if (complete_list_receiver != 0 && now >= complete_list_written_at)
+                delivery.complete_list_written(std::exchange(complete_list_receiver, 0));
+            for (const Answer &answer : delivery.answer_due_calls(now)) {
                 const auto at = std::find_if(callers.begin(), callers.end(),
                                              [&](const Caller &c) { return c.id == answer.caller; });
                 ASSERT_NE(at, callers.end());
-                if (answer.kind == Answer::Kind::Whole) {
-                    ASSERT_FALSE(log.reaches(at->since));
-                    ASSERT_EQ(whole_to, 0u) << "one whole list at a time";
-                    whole_to = answer.caller;
-                    whole_until = now + 300'000;
+                if (answer.kind == Answer::Kind::CompleteList) {
+                    ASSERT_FALSE(log.covers(at->since));
+                    ASSERT_EQ(complete_list_receiver, 0u) << "more than one complete list is being written";
+                    complete_list_receiver = answer.caller;
+                    complete_list_written_at = now + 300'000;
                 }
                 ASSERT_GE(answer.delta.revision, at->since);
                 at->since = answer.delta.revision;
                 apply(at->list, answer.delta.complete, copy(answer.delta));
-                at->until = now + 100'000 + static_cast<Micros>(random.part(3'000'000));
-                delivery.ask(at->id, at->since, at->until);
+                at->until = now + 100'000 + static_cast<Micros>(random.pick(3'000'000));
+                delivery.start_call(at->id, at->since, at->until);
             }
             for (const Caller &caller : callers)
                 ASSERT_GT(caller.until, now);
-            // Urgent changes are out whatever the budgets say.
+            // Urgent changes have been sent regardless of the budgets.
             for (const Caller &caller : callers) {
-                if (!log.reaches(caller.since))
+                if (!log.covers(caller.since))
                     continue;
                 for (const auto &entry : log.urgent_changes(caller.since, 0).entries)
                     ASSERT_NE(caller.list.contains(id_of(entry.text)), entry.phase == Phase::Removed);
@@ -285,54 +291,56 @@
 TEST(Delivery, PutsOffWhatIsNotUrgentUntilTheCallersBudgetIsReady) {
     Source source(0);
     ChangeLog log(5);
-    log.take(source.whole());
-    Delivery delivery(log, kTight, 0);
+    log.apply(source.whole());
+    Delivery delivery(log, kTightLimits, 0);
     const CallerId id = delivery.connect(0);
     Revision since = log.revision();
     std::size_t bytes = 0;
     for (Micros now = 0; now < 30'000'000; now += 100'000) {
         const Revision before = source.revision();
         source.change("s-" + std::to_string(now), Phase::Up);
-        log.take(source.since(before));
-        delivery.ask(id, since, now + 100'000);
-        for (const Answer &answer : delivery.due(now)) {
+        log.apply(source.since(before));
+        delivery.start_call(id, since, now + 100'000);
+        for (const Answer &answer : delivery.answer_due_calls(now)) {
             bytes += answer.delta.bytes;
             since = answer.delta.revision;
         }
-        const double allowed = kTight.caller.burst + kTight.caller.rate * static_cast<double>(now) / 1e6;
-        ASSERT_LE(static_cast<double>(bytes), allowed + kTight.caller.burst) << now;
+        const double allowed =
+            kTightLimits.caller.burst + kTightLimits.caller.rate * static_cast<double>(now) / 1e6;
+        ASSERT_LE(static_cast<double>(bytes), allowed + kTightLimits.caller.burst) << now;
     }
     EXPECT_GT(delivery.figures().put_off, 0u);
-    EXPECT_GT(static_cast<double>(bytes), kTight.caller.rate * 29);
+    EXPECT_GT(static_cast<double>(bytes), kTightLimits.caller.rate * 29);
 }
 
 TEST(Delivery, TellsACallerThatKnowsMoreToAskElsewhereWhenItsTimeIsUp) {
     Source source(2);
     ChangeLog log(5);
-    Delivery delivery(log, kTight, 0);
+    Delivery delivery(log, kTightLimits, 0);
     const CallerId id = delivery.connect(0);
-    delivery.ask(id, 1, 1'000);
-    EXPECT_TRUE(delivery.due(999).empty()) << "an empty log may be filled meanwhile";
-    ASSERT_EQ(delivery.due(1'000).size(), 1u);
-    log.take(source.whole());
-    delivery.ask(id, source.revision() + 1, 2'000);
-    EXPECT_TRUE(delivery.due(1'500).empty());
-    const auto answers = delivery.due(2'000);
+    delivery.start_call(id, 1, 1'000);
+    EXPECT_TRUE(delivery.answer_due_calls(999).empty())
+        << "the log may still be filled before the call expires";
+    ASSERT_EQ(delivery.answer_due_calls(1'000).size(), 1u);
+    log.apply(source.whole());
+    delivery.start_call(id, source.revision() + 1, 2'000);
+    EXPECT_TRUE(delivery.answer_due_calls(1'500).empty());
+    const auto answers = delivery.answer_due_calls(2'000);
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_EQ(answers[0].kind, Answer::Kind::Behind);
-    delivery.ask(id, source.revision() + 1, 9'000);
+    delivery.start_call(id, source.revision() + 1, 9'000);
     const Revision before = source.revision();
     source.change("s-0", Phase::Draining);
     source.change("s-1", Phase::Draining);
-    log.take(source.since(before));
-    delivery.published();
-    EXPECT_EQ(delivery.due(3'000).size(), 1u) << "it has caught up";
+    log.apply(source.since(before));
+    delivery.on_log_changed();
+    EXPECT_EQ(delivery.answer_due_calls(3'000).size(), 1u) << "the log has caught up with the caller";
 }
 
 TEST(ReportBook, AddsUpOverLevelsAndNamesWhoLacksTheNewestLongestFirst) {
     ReportBook top, below;
-    top.published(3, 0);
-    below.published(3, 1'000);
+    top.record_published(3, 0);
+    below.record_published(3, 1'000);
     for (int n = 0; n < 20; ++n)
         below.report(fmt::format("n{}", n), n < 15 ? 3 : 2, 2'000);
     top.report("a", 3, 2'000);
@@ -342,7 +350,7 @@
     EXPECT_EQ(all.brokers, 22u);
     EXPECT_EQ(all.current, 16u);
     ASSERT_EQ(all.lacking.size(), 6u);
-    EXPECT_EQ(all.lacking.front().broker, "b"); // since the version was published at the top
+    EXPECT_EQ(all.lacking.front().broker, "b"); // counted from the publication at the top
     EXPECT_EQ(all.lacking.front().for_us, 6'000);
     EXPECT_EQ(all.lacking.back().for_us, 4'000);
     for (int n = 15; n < 20; ++n)
@@ -351,22 +359,22 @@
     top.report("b", 3, 7'000);
     EXPECT_EQ(top.summary(7'000).current, 22u);
     EXPECT_TRUE(top.summary(7'000).lacking.empty());
-    top.published(4, 8'000);
+    top.record_published(4, 8'000);
     EXPECT_EQ(top.summary(8'000).current, 0u);
 }
 
 TEST(ReportBook, LeavesOutWhoHasNotReportedAndNamesNoMoreThanItsBound) {
     ReportBook book;
-    book.published(2, 0);
+    book.record_published(2, 0);
     for (int n = 0; n < 100; ++n)
         book.report(fmt::format("n{}", n), 1, n < 50 ? 0 : 1'000'000);
-    EXPECT_EQ(book.summary(ReportBook::kKept).brokers, 100u);
-    EXPECT_EQ(book.summary(ReportBook::kKept).lacking.size(), ReportBook::kMostNamed);
-    EXPECT_EQ(book.summary(ReportBook::kKept + 1).brokers, 50u);
-    EXPECT_EQ(book.summary(ReportBook::kKept + 1'000'001).brokers, 0u);
-    book.published(1, 5); // older: the newest stays
-    book.report("n0", 2, ReportBook::kKept);
-    EXPECT_EQ(book.summary(ReportBook::kKept).current, 1u);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime).brokers, 100u);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime).lacking.size(), ReportBook::kMaxNamedBrokers);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime + 1).brokers, 50u);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime + 1'000'001).brokers, 0u);
+    book.record_published(1, 5); // older: the newest version stays
+    book.report("n0", 2, ReportBook::kReportLifetime);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime).current, 1u);
 }
 
 TEST(ReportBook, KeepsNoMoreThanItsBoundAndMakesRoomOfWhatIsOld) {
@@ -375,15 +383,16 @@
         for (std::size_t n = from; n < until; ++n)
             book.report(fmt::format("n{}", n), 1, now);
     };
-    report(0, ReportBook::kMostReporters + 10, 0);
-    EXPECT_EQ(book.summary(0).brokers, ReportBook::kMostReporters);
-    book.report("n0", 2, 1); // known already
+    report(0, ReportBook::kMaxReporters + 10, 0);
+    EXPECT_EQ(book.summary(0).brokers, ReportBook::kMaxReporters);
+    book.report("n0", 2, 1); // replaces its earlier report
     EXPECT_EQ(book.subtree(1).brokers.at(2), 1u);
-    report(ReportBook::kMostReporters, ReportBook::kMostReporters + 10, ReportBook::kKept + 1);
-    EXPECT_EQ(book.summary(ReportBook::kKept + 1).brokers, 11u); // and n0
+    report(ReportBook::kMaxReporters, ReportBook::kMaxReporters + 10, ReportBook::kReportLifetime + 1);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime + 1).brokers, 11u); // the ten new ones and n0
 }
 
-// What is out by hand and what is out on all brokers are two things: the end of one is not the other's.
+// A node can be cordoned on this broker by an operator and on all brokers by the configuration. The end of
+// one cordon must not end the other.
 TEST(EndpointList, KeepsNodesOutAsLongAsOneOfTheTwoSaysSo) {
     core::EndpointList endpoints;
     const NodeId a{1}, b{2}, c{3};
@@ -392,7 +401,7 @@
     EXPECT_TRUE(endpoints.is_cordoned(c));
     endpoints.cordon(a);
     const ListUpdate fewer = endpoints.set_fleet_cordons({b});
-    ASSERT_EQ(fewer.entries.size(), 1u); // a stays out by hand
+    ASSERT_EQ(fewer.entries.size(), 1u); // a is still cordoned by the operator
     EXPECT_EQ(fewer.entries[0].state, NodeState::Draining);
     EXPECT_FALSE(fewer.entries[0].restored);
     EXPECT_TRUE(endpoints.is_cordoned(a) && endpoints.is_cordoned(b) && !endpoints.is_cordoned(c));
@@ -401,7 +410,7 @@
     EXPECT_EQ(by_hand.entries[0].state, NodeState::Ready);
     EXPECT_TRUE(by_hand.entries[0].restored);
     endpoints.cordon(b);
-    EXPECT_FALSE(endpoints.uncordon(b).entries[0].restored); // it is still out on all brokers
+    EXPECT_FALSE(endpoints.uncordon(b).entries[0].restored); // the configuration still cordons it
     EXPECT_TRUE(endpoints.set_fleet_cordons({}).entries[0].restored);
     EXPECT_TRUE(endpoints.set_fleet_cordons({}).entries.empty());
 }
@@ -463,7 +472,7 @@
         ++first[selector.current().name];
         if (selector.current().name != "d4")
             continue;
-        selector.failed(0);
+        selector.record_failure(0);
         ++second[selector.current().name];
     }
     ASSERT_EQ(first.size(), 9u);
@@ -480,36 +489,36 @@
     const Locality here{"z5", "r1"};
     DistributorSelector selector(distributors(8, 4), "n1", here, 7);
     EXPECT_EQ(selector.current().name, "d5");
-    selector.failed(1'000'000);
-    EXPECT_EQ(selector.current().name, "d1"); // the other one of the region
-    selector.failed(1'000'000);
+    selector.record_failure(1'000'000);
+    EXPECT_EQ(selector.current().name, "d1"); // the other one in the region
+    selector.record_failure(1'000'000);
     EXPECT_NE(selector.current().locality.region, "r1");
-    EXPECT_FALSE(selector.reconsider(1'000'000 + DistributorSelector::kLeastAvoided - 1));
-    EXPECT_TRUE(selector.reconsider(1'000'000 + 2 * DistributorSelector::kLeastAvoided));
+    EXPECT_FALSE(selector.reconsider(1'000'000 + DistributorSelector::kMinAvoidance - 1));
+    EXPECT_TRUE(selector.reconsider(1'000'000 + 2 * DistributorSelector::kMinAvoidance));
     EXPECT_EQ(selector.current().name, "d5");
-    selector.answered();
-    EXPECT_FALSE(selector.reconsider(1'000'000 + 3 * DistributorSelector::kLeastAvoided));
+    selector.record_success();
+    EXPECT_FALSE(selector.reconsider(1'000'000 + 3 * DistributorSelector::kMinAvoidance));
 }
 
 TEST(DistributorSelector, AsksTheOnlyOneAgainAndOfAllThatFailedTheOneThatWaitedLongest) {
     DistributorSelector only(distributors(1, 1), "n1", {"", ""}, 7);
-    only.failed(0);
+    only.record_failure(0);
     EXPECT_EQ(only.current().name, "d0");
     DistributorSelector three(distributors(3, 1), "n1", {"", "r0"}, 7);
     std::set<std::string> asked;
     for (int n = 0; n < 3; ++n) {
         asked.insert(three.current().name);
-        three.failed(n);
+        three.record_failure(n);
     }
     EXPECT_EQ(asked.size(), 3u);
 }
 
-// All together: a source, distributors that watch it and brokers that watch those, in steps of 100 ms. Calls
-// and answers are lost or late, distributors pause, start anew and are cut off from the source.
+/// A source, distributors that watch it and brokers that watch the distributors, in steps of 100 ms. Calls
+/// and answers are lost or late, and distributors pause, restart and lose the connection to the source.
 class Fleet {
 public:
     explicit Fleet(std::uint64_t seed) : random_(seed), source_(kMembers) {
-        loss_ = static_cast<double>(random_.part(3)) * 0.1;
+        loss_probability_ = static_cast<double>(random_.pick(3)) * 0.1;
         for (int n = 0; n < kDistributors; ++n)
             distributors_.push_back(std::make_unique<Replica>());
         for (int n = 0; n < kBrokers; ++n)
@@ -521,7 +530,7 @@
     }
 
     void run() {
-        for (int step = 0; step < kFaulty; ++step) {
+        for (int step = 0; step < kFaultySteps; ++step) {
             fault();
             if (random_.chance(0.15))
                 source_.change_at_random(random_, kMembers + 3);
@@ -529,10 +538,10 @@
             if (testing::Test::HasFatalFailure())
                 return;
         }
-        loss_ = 0;
+        loss_probability_ = 0;
         for (const auto &replica : distributors_)
-            replica->paused_until = replica->cut_until = now_;
-        for (int step = 0; step < kQuiet; ++step) {
+            replica->paused_until = replica->disconnected_until = now_;
+        for (int step = 0; step < kRecoverySteps; ++step) {
             this->step();
             if (testing::Test::HasFatalFailure())
                 return;
@@ -542,52 +551,56 @@
             ASSERT_EQ(broker.list, source_.list());
         }
     }
-    std::uint64_t wholes() const { return wholes_; }
-    std::uint64_t behind() const { return behind_; }
+    std::uint64_t complete_lists_sent() const { return complete_lists_sent_; }
+    std::uint64_t behind_answers() const { return behind_answers_; }
 
 private:
     static constexpr int kMembers = 8, kDistributors = 3, kBrokers = 5;
-    static constexpr int kFaulty = 150, kQuiet = 120; // steps
-    static constexpr Micros kStep = 100'000, kWait = 600'000, kPatience = 1'100'000;
+    static constexpr int kFaultySteps = 150, kRecoverySteps = 120;
+    static constexpr Micros kStep = 100'000, kCallWait = 600'000, kAnswerTimeout = 1'100'000;
 
-    struct Replica { // a distributor
+    /// A distributor.
+    struct Replica {
         ChangeLog log{4};
-        Delivery delivery{log, kTight, 0};
-        Micros paused_until = 0, cut_until = 0;
-        Micros answer_at = 0; // of its call to the source
+        Delivery delivery{log, kTightLimits, 0};
+        Micros paused_until = 0, disconnected_until = 0;
+        Micros answer_at = 0; ///< when the answer to its call to the source arrives
         std::optional<Update> answer;
-        std::map<CallerId, std::pair<std::size_t, std::uint64_t>> callers; // broker, number of its call
+        /// For each caller, the broker's index and the number of its call.
+        std::map<CallerId, std::pair<std::size_t, std::uint64_t>> callers;
     };
-    struct Message { // on its way to a broker
+    /// An answer in flight to a broker.
+    struct Message {
         Micros at = 0;
         std::uint64_t call = 0;
-        Answer::Kind kind = Answer::Kind::Nothing;
+        Answer::Kind kind = Answer::Kind::NoChange;
         Revision revision = 0;
         bool complete = false;
         std::vector<std::pair<std::string, Phase>> entries;
     };
     struct Broker {
-        std::deque<Message> coming;
+        std::deque<Message> in_flight;
         Revision revision;
         List list;
         DistributorSelector selector;
-        std::uint64_t call = 0; // the number of the one that is open; 0: none
-        Micros give_up = 0, next_call = 0;
-        std::size_t asked = 0;
+        std::uint64_t call = 0; ///< the number of the open call; 0: none
+        Micros call_timeout_at = 0, next_call = 0;
+        std::size_t distributor = 0;
         CallerId id = 0;
     };
 
     void fault() {
-        Replica &replica = *distributors_[random_.part(kDistributors - 1)];
+        Replica &replica = *distributors_[random_.pick(kDistributors - 1)];
         if (random_.chance(0.01))
-            replica.paused_until = now_ + static_cast<Micros>(random_.part(5'000'000));
+            replica.paused_until = now_ + static_cast<Micros>(random_.pick(5'000'000));
         if (random_.chance(0.01))
-            replica.cut_until = now_ + static_cast<Micros>(random_.part(6'000'000));
+            replica.disconnected_until = now_ + static_cast<Micros>(random_.pick(6'000'000));
         if (random_.chance(0.01)) {
-            auto &place = distributors_[random_.part(kDistributors - 1)];
-            place = std::make_unique<Replica>(); // starts empty; its callers' connections are reset
+            auto &restarted = distributors_[random_.pick(kDistributors - 1)];
+            // It restarts without a list; its callers' connections are reset.
+            restarted = std::make_unique<Replica>();
             for (Broker &broker : brokers_)
-                if (broker.call && distributors_[broker.asked] == place)
+                if (broker.call && distributors_[broker.distributor] == restarted)
                     fail(broker, false);
         }
     }
@@ -598,82 +611,82 @@
             if (now_ >= replica->paused_until)
                 serve(*replica);
         for (std::size_t n = 0; n < brokers_.size(); ++n)
-            live(n);
+            run_broker(n);
     }
 
     void serve(Replica &replica) {
         if (replica.answer && now_ >= replica.answer_at) {
             const Revision before = replica.log.revision();
-            const Taken taken = replica.log.take(*replica.answer);
+            const Taken taken = replica.log.apply(*replica.answer);
             ASSERT_GE(replica.log.revision(), before);
             if (taken == Taken::Yes)
-                replica.delivery.published();
+                replica.delivery.on_log_changed();
             replica.answer.reset();
         }
-        if (!replica.answer && now_ >= replica.cut_until && !random_.chance(loss_)) {
+        if (!replica.answer && now_ >= replica.disconnected_until && !random_.chance(loss_probability_)) {
             replica.answer = replica.log.empty() ? source_.whole() : source_.since(replica.log.revision());
-            replica.answer_at = now_ + static_cast<Micros>(random_.part(3)) * kStep;
+            replica.answer_at = now_ + static_cast<Micros>(random_.pick(3)) * kStep;
         }
-        for (const Answer &answer : replica.delivery.due(now_)) {
+        for (const Answer &answer : replica.delivery.answer_due_calls(now_)) {
             const auto [broker, call] = replica.callers.at(answer.caller);
-            if (answer.kind == Answer::Kind::Whole) {
-                ++wholes_;
-                ASSERT_FALSE(replica.log.reaches(brokers_[broker].revision));
-                replica.delivery.whole_written(answer.caller);
+            if (answer.kind == Answer::Kind::CompleteList) {
+                ++complete_lists_sent_;
+                ASSERT_FALSE(replica.log.covers(brokers_[broker].revision));
+                replica.delivery.complete_list_written(answer.caller);
             }
-            if (random_.chance(loss_))
+            if (random_.chance(loss_probability_))
                 continue;
-            brokers_[broker].coming.push_back({now_ + static_cast<Micros>(random_.part(3)) * kStep, call,
-                                               answer.kind, answer.delta.revision, answer.delta.complete,
-                                               copy(answer.delta)});
+            brokers_[broker].in_flight.push_back({now_ + static_cast<Micros>(random_.pick(3)) * kStep, call,
+                                                  answer.kind, answer.delta.revision, answer.delta.complete,
+                                                  copy(answer.delta)});
         }
     }
 
-    void live(std::size_t number) {
+    void run_broker(std::size_t number) {
         Broker &broker = brokers_[number];
-        for (Message &message : std::exchange(broker.coming, {})) {
+        for (Message &message : std::exchange(broker.in_flight, {})) {
             if (message.at > now_)
-                broker.coming.push_back(std::move(message));
-            else if (message.call == broker.call && broker.call) // else a call that was given up
-                hear(broker, message);
+                broker.in_flight.push_back(std::move(message));
+            else if (message.call == broker.call && broker.call) // else the call has timed out
+                receive(broker, message);
         }
-        if (broker.call && now_ >= broker.give_up)
+        if (broker.call && now_ >= broker.call_timeout_at)
             fail(broker, true);
         if (!broker.call && now_ >= broker.next_call)
-            ask(number);
+            start_call(number);
     }
 
-    void hear(Broker &broker, const Message &message) {
+    void receive(Broker &broker, const Message &message) {
         if (message.kind == Answer::Kind::Behind || message.revision < broker.revision) {
-            ++behind_;
+            ++behind_answers_;
             return fail(broker, true);
         }
         ASSERT_GE(message.revision, broker.revision);
         broker.revision = message.revision;
         apply(broker.list, message.complete, message.entries);
-        broker.selector.answered();
+        broker.selector.record_success();
         end_call(broker);
         broker.next_call = now_;
     }
 
-    void ask(std::size_t number) {
+    void start_call(std::size_t number) {
         Broker &broker = brokers_[number];
         broker.selector.reconsider(now_);
-        broker.asked = static_cast<std::size_t>(broker.selector.current().name[1] - '0');
+        broker.distributor = static_cast<std::size_t>(broker.selector.current().name[1] - '0');
         broker.call = ++last_call_;
-        broker.give_up = now_ + kWait + kPatience;
-        if (random_.chance(loss_))
+        broker.call_timeout_at = now_ + kCallWait + kAnswerTimeout;
+        if (random_.chance(loss_probability_))
             return; // the call is lost
-        Replica &replica = *distributors_[broker.asked];
+        Replica &replica = *distributors_[broker.distributor];
         if (now_ < replica.paused_until)
             return;
         broker.id = replica.delivery.connect(now_);
         replica.callers[broker.id] = {number, broker.call};
-        replica.delivery.ask(broker.id, broker.revision, now_ + kWait);
+        replica.delivery.start_call(broker.id, broker.revision, now_ + kCallWait);
     }
 
     void end_call(Broker &broker) {
-        Replica &replica = *distributors_[broker.asked];
+        Replica &replica = *distributors_[broker.distributor];
         const auto at = replica.callers.find(broker.id);
         if (at != replica.callers.end() && at->second.second == broker.call) {
             replica.delivery.disconnect(broker.id);
@@ -687,31 +700,31 @@
             end_call(broker);
         else
             broker.call = 0;
-        broker.selector.failed(now_);
-        broker.next_call = now_ + kStep * static_cast<Micros>(1 + random_.part(2));
+        broker.selector.record_failure(now_);
+        broker.next_call = now_ + kStep * static_cast<Micros>(1 + random_.pick(2));
     }
 
     Random random_;
     Source source_;
     Micros now_ = 0;
-    double loss_ = 0;
+    double loss_probability_ = 0;
     std::vector<std::unique_ptr<Replica>> distributors_;
     std::vector<Broker> brokers_;
-    std::uint64_t last_call_ = 0, wholes_ = 0, behind_ = 0;
+    std::uint64_t last_call_ = 0, complete_lists_sent_ = 0, behind_answers_ = 0;
 };
 
 TEST(Distribution, NoRevisionGoesBackAndAllHoldTheListInRandomSchedules) {
-    std::uint64_t wholes = 0, behind = 0;
+    std::uint64_t complete_lists_sent = 0, behind = 0;
     for (std::uint64_t seed = 0; seed < 10'000; ++seed) {
         SCOPED_TRACE(seed);
         Fleet fleet(seed);
         fleet.run();
         if (HasFatalFailure())
             return;
-        wholes += fleet.wholes(), behind += fleet.behind();
+        complete_lists_sent += fleet.complete_lists_sent(), behind += fleet.behind_answers();
     }
-    // The schedules meet what they are meant to meet.
-    EXPECT_GT(wholes, 1'000u);
+    // The schedules reach the cases that they are meant to cover.
+    EXPECT_GT(complete_lists_sent, 1'000u);
     EXPECT_GT(behind, 1'000u);
 }
 
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -1,5 +1,6 @@
-// The bytes of served lists and documents, of the reports in their queries, and of datagrams between brokers:
-// what an older version wrote has to be read, and what is written may not change.
+/// \file
+/// The encoding of served lists and documents, of the reports in queries, and of datagrams between brokers.
+/// Data written by older versions must be readable, and the encoding must not change.
 #include "config/operations.hpp"
 #include "gossip/gossip_transport.hpp"
 #include "list_distribution/list_call.hpp"
@@ -55,14 +56,14 @@
 
 TEST(ListFormat, CompleteListIsServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
-    ASSERT_EQ(log.take(read_nodes("nodes_complete.json")), distribution::Taken::Yes);
+    ASSERT_EQ(log.apply(read_nodes("nodes_complete.json")), distribution::Taken::Yes);
     EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("nodes_complete_served.json"));
 }
 
 TEST(ListFormat, ChangesAreServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
-    log.take(read_nodes("nodes_complete.json"));
-    ASSERT_EQ(log.take(read_nodes("nodes_changes.json")), distribution::Taken::Yes);
+    log.apply(read_nodes("nodes_complete.json"));
+    ASSERT_EQ(log.apply(read_nodes("nodes_changes.json")), distribution::Taken::Yes);
     EXPECT_EQ(lists::encode(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
 }
 
@@ -88,7 +89,7 @@
     EXPECT_EQ(config::read_operations(file.operations).cordons,
               (std::set<std::string>{"s-5be2a07c", "s-77c1d0aa"}));
     distribution::ChangeLog log(kMaxRemoved);
-    log.take({file.version, true, {lists::document_member(config::kOperationsDocument, file.operations)}});
+    log.apply({file.version, true, {lists::document_member(config::kOperationsDocument, file.operations)}});
     EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("documents_served.json"));
 }
 
@@ -108,7 +109,7 @@
               "caller=d_1&below=3:100,4:7&lacking=n7:5000,n_8:1");
 }
 
-/// Two brokers' sockets on loopback.
+/// The sockets of two brokers on loopback.
 class GossipFormat : public ::testing::Test {
 protected:
     static asio_udp::endpoint loopback() { return {boost::asio::ip::address_v4::loopback(), 0}; }
