--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -112,7 +112,7 @@
     }
 
     void publish(Channel channel, const distribution::Update &update) {
-        if (server_.publish(channel, update) == distribution::Taken::Older)
+        if (server_.publish(channel, update) == distribution::UpdateResult::Stale)
             core::log("update_ignored revision={} reason=not_newer", update.revision);
     }
 
--- a/src/distribution/change_log.cpp
+++ b/src/distribution/change_log.cpp
@@ -4,14 +4,14 @@
 
 namespace marblewood::distribution {
 
-Taken ChangeLog::apply(const Update &update) {
+UpdateResult ChangeLog::apply(const Update &update) {
     if (update.revision < revision_)
-        return Taken::Older;
+        return UpdateResult::Stale;
     if (update.revision == revision_)
-        return update.members.empty() || update.complete ? Taken::Yes : Taken::Older;
+        return update.members.empty() || update.complete ? UpdateResult::Applied : UpdateResult::Stale;
     const bool first = empty();
     if (first && !update.complete)
-        return Taken::Older; // changes can only be applied to a complete list
+        return UpdateResult::Stale; // changes can only be applied to a complete list
     if (update.complete)
         remove_unlisted(update);
     for (const Member &member : update.members)
@@ -20,7 +20,7 @@
     if (first)
         oldest_ = revision_;
     drop_oldest_removals();
-    return Taken::Yes;
+    return UpdateResult::Applied;
 }
 
 void ChangeLog::update_indexes(const std::string &id, const Row &row, bool present) {
@@ -84,7 +84,7 @@
     delta.bytes += entry_bytes(row.text);
 }
 
-Delta ChangeLog::whole() const {
+Delta ChangeLog::complete_list() const {
     Delta delta{revision_, true, {}, 0};
     for (const auto &[id, row] : rows_)
         if (row.phase != Phase::Removed)
--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -40,7 +40,7 @@
     std::vector<Member> members;
 };
 
-enum class Taken { Yes, Older };
+enum class UpdateResult { Applied, Stale };
 
 /// The entries that a caller needs to bring its list up to `revision`. The texts are valid until the log
 /// changes.
@@ -66,7 +66,7 @@
 public:
     explicit ChangeLog(std::size_t max_removed) : max_removed_(max_removed) {}
 
-    Taken apply(const Update &update);
+    UpdateResult apply(const Update &update);
 
     bool empty() const { return revision_ < 0; }
     Revision revision() const { return revision_; }
@@ -78,7 +78,7 @@
     std::size_t complete_list_bytes() const { return complete_list_bytes_; }
 
     /// All listed members.
-    Delta whole() const;
+    Delta complete_list() const;
     /// The members that changed after `since`, which the log must cover. Adds whole revisions, at least one,
     /// as long as their entries fit into `max_bytes`. Urgent entries (members that are draining, were removed
     /// or moved to another shard) of later revisions are added regardless of their size, unless they changed
--- a/src/distribution/delivery.cpp
+++ b/src/distribution/delivery.cpp
@@ -130,10 +130,10 @@
     if (complete_list_receiver_ || !machine_budget_.ready(now))
         return false;
     complete_list_receiver_ = id;
-    Delta delta = log_.whole();
+    Delta delta = log_.complete_list();
     caller.urgent_sent_revision = delta.revision;
     machine_budget_.spend(now, static_cast<double>(delta.bytes));
-    ++metrics_.whole;
+    ++metrics_.complete_lists;
     metrics_.entry_bytes += delta.bytes;
     answers.push_back({id, Answer::Kind::CompleteList, std::move(delta)});
     return true;
@@ -143,7 +143,7 @@
 void Delivery::answer_expired(CallerId id, Caller &caller, std::vector<Answer> &answers) {
     const Need needed = need(caller);
     const bool behind = needed == Need::Behind || !caller.since;
-    ++(behind ? metrics_.behind : metrics_.nothing);
+    ++(behind ? metrics_.behind : metrics_.no_change);
     answers.push_back({id,
                        behind ? Answer::Kind::Behind : Answer::Kind::NoChange,
                        {caller.since.value_or(0), false, {}, 0}});
@@ -157,7 +157,7 @@
 
 void Delivery::mark_deferred(Caller &caller) {
     if (!std::exchange(caller.call_deferred, true))
-        ++metrics_.put_off;
+        ++metrics_.deferred;
 }
 
 std::optional<Micros> Delivery::next_due_at(Micros now) const {
--- a/src/distribution/delivery.hpp
+++ b/src/distribution/delivery.hpp
@@ -48,9 +48,9 @@
 
 /// Counts since the start.
 struct DeliveryMetrics {
-    std::uint64_t calls = 0, nothing = 0, changes = 0, whole = 0, behind = 0;
+    std::uint64_t calls = 0, no_change = 0, changes = 0, complete_lists = 0, behind = 0;
     std::uint64_t entry_bytes = 0; ///< of the members' entries in all answers
-    std::uint64_t put_off = 0;     ///< calls that waited for a budget, or for another caller's complete list
+    std::uint64_t deferred = 0;    ///< calls that waited for a budget, or for another caller's complete list
 };
 
 class Delivery {
@@ -74,7 +74,7 @@
     /// When answer_due_calls() has to be called next if nothing else happens before.
     std::optional<Micros> next_due_at(Micros now) const;
 
-    const DeliveryMetrics &figures() const { return metrics_; }
+    const DeliveryMetrics &metrics() const { return metrics_; }
     std::size_t callers() const { return callers_.size(); }
     /// The number of callers by the revision that each reported in its last call.
     std::map<Revision, std::size_t> revisions_held() const;
--- a/src/distribution/report_book.cpp
+++ b/src/distribution/report_book.cpp
@@ -31,21 +31,21 @@
                   [now](const auto &entry) { return now - entry.second.received_at > kReportLifetime; });
 }
 
-std::vector<LaggingBroker> ReportBook::lacking(Micros now) const {
-    std::vector<LaggingBroker> lagging;
+std::vector<LaggingBroker> ReportBook::lagging(Micros now) const {
+    std::vector<LaggingBroker> named;
     for (const auto &[name, entry] : entries_) {
         if (now - entry.received_at > kReportLifetime)
             continue;
         if (entry.version && *entry.version < newest_version_)
-            lagging.push_back({name, now - newest_published_at_});
+            named.push_back({name, now - newest_published_at_});
         if (!entry.version)
-            lagging.insert(lagging.end(), entry.subtree.lacking.begin(), entry.subtree.lacking.end());
+            named.insert(named.end(), entry.subtree.lagging.begin(), entry.subtree.lagging.end());
     }
-    std::stable_sort(lagging.begin(), lagging.end(),
-                     [](const LaggingBroker &a, const LaggingBroker &b) { return a.for_us > b.for_us; });
-    if (lagging.size() > kMaxNamedBrokers)
-        lagging.resize(kMaxNamedBrokers);
-    return lagging;
+    std::stable_sort(named.begin(), named.end(),
+                     [](const LaggingBroker &a, const LaggingBroker &b) { return a.lag > b.lag; });
+    if (named.size() > kMaxNamedBrokers)
+        named.resize(kMaxNamedBrokers);
+    return named;
 }
 
 SubtreeReport ReportBook::subtree(Micros now) const {
@@ -58,7 +58,7 @@
         for (const auto &[version, brokers] : entry.subtree.brokers)
             report.brokers[version] += brokers;
     }
-    report.lacking = lacking(now);
+    report.lagging = lagging(now);
     return report;
 }
 
@@ -69,7 +69,7 @@
         if (version >= newest_version_)
             summary.current += brokers;
     }
-    summary.lacking = lacking(now);
+    summary.lagging = lagging(now);
     return summary;
 }
 
--- a/src/distribution/report_book.hpp
+++ b/src/distribution/report_book.hpp
@@ -17,19 +17,19 @@
 /// A broker on which the newest version is not in force yet.
 struct LaggingBroker {
     std::string broker;
-    Micros for_us = 0; ///< since the distributor that the broker reports to published the version
+    Micros lag = 0; ///< since the distributor that the broker reports to published the version
 };
 
 struct ReportSummary {
     std::size_t brokers = 0; ///< that report, directly or through other distributors
     std::size_t current = 0; ///< the brokers on which the newest version is in force
-    std::vector<LaggingBroker> lacking;
+    std::vector<LaggingBroker> lagging;
 };
 
 /// The report of a distributor to its parent.
 struct SubtreeReport {
     std::map<Revision, std::size_t> brokers; ///< number of brokers by the version in force on them
-    std::vector<LaggingBroker> lacking;
+    std::vector<LaggingBroker> lagging;
 };
 
 class ReportBook {
@@ -54,7 +54,7 @@
         SubtreeReport subtree;           ///< set for a distributor
         Micros received_at = 0;
     };
-    std::vector<LaggingBroker> lacking(Micros now) const;
+    std::vector<LaggingBroker> lagging(Micros now) const;
     void drop_expired(Micros now);
     void put(const std::string &name, Entry entry);
 
--- a/src/lab/scale/fleet_run.cpp
+++ b/src/lab/scale/fleet_run.cpp
@@ -301,7 +301,7 @@
         now.hollow_cpu_s += usage_of(host.process.pid).cpu_s;
     now.at = clock_.now();
     now.source_cpu_s = usage_of(::getpid()).cpu_s;
-    now.source_calls = static_cast<double>(source_.delivery().figures().calls);
+    now.source_calls = static_cast<double>(source_.delivery().metrics().calls);
     now.source_sent = static_cast<double>(source_.figures().sent_bytes);
     now.source_received = static_cast<double>(source_.figures().received_bytes);
     co_return now;
--- a/src/lab/scale/list_source.cpp
+++ b/src/lab/scale/list_source.cpp
@@ -45,7 +45,7 @@
 }
 
 std::string ListSource::whole() const {
-    return list_distribution::encode(server_.log(list_distribution::Channel::Nodes).whole());
+    return list_distribution::encode(server_.log(list_distribution::Channel::Nodes).complete_list());
 }
 
 void ListSource::publish(const std::vector<std::size_t> &changed, const std::string &event, bool complete) {
--- a/src/list_distribution/list_call.cpp
+++ b/src/list_distribution/list_call.cpp
@@ -63,10 +63,10 @@
 
 void parse_lacking(std::string_view list, distribution::SubtreeReport &subtree) {
     parse_pairs(list, [&](std::string_view broker, std::int64_t millis) {
-        if (subtree.lacking.size() >= distribution::ReportBook::kMaxNamedBrokers)
+        if (subtree.lagging.size() >= distribution::ReportBook::kMaxNamedBrokers)
             return;
         const Micros lacking_for = std::min(millis, kMaxLackingMillis) * kMicrosPerMilli;
-        subtree.lacking.push_back({sanitize(std::string(broker)), lacking_for});
+        subtree.lagging.push_back({sanitize(std::string(broker)), lacking_for});
     });
 }
 
@@ -110,8 +110,8 @@
     if (below.size() > kMaxReportedVersions)
         below.erase(below.begin(), below.end() - kMaxReportedVersions);
     std::vector<std::string> lacking;
-    for (const distribution::LaggingBroker &broker : subtree.lacking)
-        lacking.push_back(fmt::format("{}:{}", sanitize(broker.broker), broker.for_us / kMicrosPerMilli));
+    for (const distribution::LaggingBroker &broker : subtree.lagging)
+        lacking.push_back(fmt::format("{}:{}", sanitize(broker.broker), broker.lag / kMicrosPerMilli));
     return fmt::format("&below={}&lacking={}", fmt::join(below, ","), fmt::join(lacking, ","));
 }
 
--- a/src/list_distribution/list_server.cpp
+++ b/src/list_distribution/list_server.cpp
@@ -46,16 +46,16 @@
     asio::co_spawn(io_, accept(), asio::detached);
 }
 
-distribution::Taken ListServer::publish(Channel channel, const distribution::Update &update) {
+distribution::UpdateResult ListServer::publish(Channel channel, const distribution::Update &update) {
     ServedChannel &served = channels_[static_cast<std::size_t>(channel)];
-    const distribution::Taken taken = served.log.apply(update);
-    if (taken == distribution::Taken::Older)
-        return taken;
+    const distribution::UpdateResult result = served.log.apply(update);
+    if (result == distribution::UpdateResult::Stale)
+        return result;
     if (channel == Channel::Documents)
         reports_.record_published(update.revision, deadlines_.clock.now());
     served.delivery.on_log_changed();
     deliver();
-    return taken;
+    return result;
 }
 
 void ListServer::record_report(const Report &report) {
--- a/src/list_distribution/list_server.hpp
+++ b/src/list_distribution/list_server.hpp
@@ -45,7 +45,7 @@
                const ListServerLimits &limits);
 
     /// Publishes an update of the channel's source. One that is not newer changes nothing.
-    distribution::Taken publish(Channel channel, const distribution::Update &update);
+    distribution::UpdateResult publish(Channel channel, const distribution::Update &update);
 
     const distribution::ChangeLog &log(Channel channel) const { return served_by(channel).log; }
     const distribution::Delivery &delivery(Channel channel) const { return served_by(channel).delivery; }
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -119,27 +119,28 @@
         Random random(seed);
         Source source(10);
         ChangeLog log(random.pick(6));
-        ASSERT_EQ(log.apply(source.whole()), Taken::Yes);
+        ASSERT_EQ(log.apply(source.whole()), UpdateResult::Applied);
         List held = source.list();
         Revision revision = log.revision(), urgent_sent_revision = 0;
         for (int n = 0; n < 40; ++n) {
             const Revision before = source.revision();
             for (std::uint64_t more = random.pick(4); more > 0; --more)
                 source.change_at_random(random, 14);
-            ASSERT_EQ(log.apply(random.chance(0.2) ? source.whole() : source.since(before)), Taken::Yes);
+            ASSERT_EQ(log.apply(random.chance(0.2) ? source.whole() : source.since(before)),
+                      UpdateResult::Applied);
             if (!random.chance(0.4))
                 continue;
             const bool covered = log.covers(revision);
             const Delta delta = covered ? log.changes(revision, random.pick(200),
                                                       random.chance(0.5) ? urgent_sent_revision : 0)
-                                        : log.whole();
+                                        : log.complete_list();
             const bool behind = covered && log.revision() > revision;
             ASSERT_GE(delta.revision, behind ? revision + 1 : revision);
             urgent_sent_revision = log.revision();
             revision = delta.revision;
             apply(held, delta.complete, copy(delta));
         }
-        const Delta rest = log.covers(revision) ? log.changes(revision, 1'000'000, 0) : log.whole();
+        const Delta rest = log.covers(revision) ? log.changes(revision, 1'000'000, 0) : log.complete_list();
         apply(held, rest.complete, copy(rest));
         ASSERT_EQ(held, source.list());
         ASSERT_EQ(rest.revision, source.revision());
@@ -149,13 +150,13 @@
 TEST(ChangeLog, TakesNothingOlderAndNoChangesToAListItDoesNotHave) {
     Source source(3);
     ChangeLog log(10);
-    EXPECT_EQ(log.apply(source.since(0)), Taken::Older);
+    EXPECT_EQ(log.apply(source.since(0)), UpdateResult::Stale);
     EXPECT_TRUE(log.empty());
     const Update first = source.whole();
-    EXPECT_EQ(log.apply(first), Taken::Yes);
+    EXPECT_EQ(log.apply(first), UpdateResult::Applied);
     source.change("s-1", Phase::Draining);
-    EXPECT_EQ(log.apply(source.since(first.revision)), Taken::Yes);
-    EXPECT_EQ(log.apply(first), Taken::Older);
+    EXPECT_EQ(log.apply(source.since(first.revision)), UpdateResult::Applied);
+    EXPECT_EQ(log.apply(first), UpdateResult::Stale);
     EXPECT_EQ(log.revision(), source.revision());
     EXPECT_TRUE(log.has_urgent_after(first.revision));
     EXPECT_FALSE(log.has_urgent_after(source.revision()));
@@ -166,7 +167,7 @@
     log.apply({1, true, {{"a", "a:1", Phase::Up, 1}, {"b", "b:1", Phase::Up, 2}}});
     const auto urgent_after = [&](Update update) {
         const Revision before = log.revision();
-        EXPECT_EQ(log.apply(update), Taken::Yes);
+        EXPECT_EQ(log.apply(update), UpdateResult::Applied);
         return log.has_urgent_after(before);
     };
     EXPECT_FALSE(urgent_after({2, false, {{"a", "a:2", Phase::Up, 1}}})); // it has restarted
@@ -193,7 +194,7 @@
         EXPECT_TRUE(log.covers(log.oldest()));
     }
     EXPECT_EQ(log.size(), 30u);
-    EXPECT_EQ(log.whole().entries.size(), 30u);
+    EXPECT_EQ(log.complete_list().entries.size(), 30u);
 }
 
 TEST(TokenBucket, StaysWithinItsRateAndOneSend) {
@@ -284,7 +285,7 @@
                     ASSERT_NE(caller.list.contains(id_of(entry.text)), entry.phase == Phase::Removed);
             }
         }
-        EXPECT_GT(delivery.figures().calls, 8u);
+        EXPECT_GT(delivery.metrics().calls, 8u);
     }
 }
 
@@ -309,7 +310,7 @@
             kTightLimits.caller.burst + kTightLimits.caller.rate * static_cast<double>(now) / 1e6;
         ASSERT_LE(static_cast<double>(bytes), allowed + kTightLimits.caller.burst) << now;
     }
-    EXPECT_GT(delivery.figures().put_off, 0u);
+    EXPECT_GT(delivery.metrics().deferred, 0u);
     EXPECT_GT(static_cast<double>(bytes), kTightLimits.caller.rate * 29);
 }
 
@@ -349,16 +350,16 @@
     const ReportSummary all = top.summary(6'000);
     EXPECT_EQ(all.brokers, 22u);
     EXPECT_EQ(all.current, 16u);
-    ASSERT_EQ(all.lacking.size(), 6u);
-    EXPECT_EQ(all.lacking.front().broker, "b"); // counted from the publication at the top
-    EXPECT_EQ(all.lacking.front().for_us, 6'000);
-    EXPECT_EQ(all.lacking.back().for_us, 4'000);
+    ASSERT_EQ(all.lagging.size(), 6u);
+    EXPECT_EQ(all.lagging.front().broker, "b"); // counted from the publication at the top
+    EXPECT_EQ(all.lagging.front().lag, 6'000);
+    EXPECT_EQ(all.lagging.back().lag, 4'000);
     for (int n = 15; n < 20; ++n)
         below.report(fmt::format("n{}", n), 3, 7'000);
     top.report("d1", below.subtree(7'000), 7'000);
     top.report("b", 3, 7'000);
     EXPECT_EQ(top.summary(7'000).current, 22u);
-    EXPECT_TRUE(top.summary(7'000).lacking.empty());
+    EXPECT_TRUE(top.summary(7'000).lagging.empty());
     top.record_published(4, 8'000);
     EXPECT_EQ(top.summary(8'000).current, 0u);
 }
@@ -369,7 +370,7 @@
     for (int n = 0; n < 100; ++n)
         book.report(fmt::format("n{}", n), 1, n < 50 ? 0 : 1'000'000);
     EXPECT_EQ(book.summary(ReportBook::kReportLifetime).brokers, 100u);
-    EXPECT_EQ(book.summary(ReportBook::kReportLifetime).lacking.size(), ReportBook::kMaxNamedBrokers);
+    EXPECT_EQ(book.summary(ReportBook::kReportLifetime).lagging.size(), ReportBook::kMaxNamedBrokers);
     EXPECT_EQ(book.summary(ReportBook::kReportLifetime + 1).brokers, 50u);
     EXPECT_EQ(book.summary(ReportBook::kReportLifetime + 1'000'001).brokers, 0u);
     book.record_published(1, 5); // older: the newest version stays
@@ -447,8 +448,8 @@
     EXPECT_EQ(call->report.caller, "d_1");
     ASSERT_TRUE(call->report.subtree);
     EXPECT_EQ(call->report.subtree->brokers, subtree.brokers);
-    ASSERT_EQ(call->report.subtree->lacking.size(), 1u);
-    EXPECT_EQ(call->report.subtree->lacking[0].for_us, 5'000'000);
+    ASSERT_EQ(call->report.subtree->lagging.size(), 1u);
+    EXPECT_EQ(call->report.subtree->lagging[0].lag, 5'000'000);
     EXPECT_FALSE(lists::parse_call("/v1/other?since=1"));
     for (const char *const wrong : {"since=", "since=-1", "since=1x", "timeout_ms=9e9", "below=3", "below=:1",
                                     "below=x:1", "lacking=n1:", "applied=one"})
@@ -617,9 +618,9 @@
     void serve(Replica &replica) {
         if (replica.answer && now_ >= replica.answer_at) {
             const Revision before = replica.log.revision();
-            const Taken taken = replica.log.apply(*replica.answer);
+            const UpdateResult taken = replica.log.apply(*replica.answer);
             ASSERT_GE(replica.log.revision(), before);
-            if (taken == Taken::Yes)
+            if (taken == UpdateResult::Applied)
                 replica.delivery.on_log_changed();
             replica.answer.reset();
         }
--- a/tests/list_format_test.cpp
+++ b/tests/list_format_test.cpp
@@ -56,14 +56,14 @@
 
 TEST(ListFormat, CompleteListIsServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
-    ASSERT_EQ(log.apply(read_nodes("nodes_complete.json")), distribution::Taken::Yes);
-    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("nodes_complete_served.json"));
+    ASSERT_EQ(log.apply(read_nodes("nodes_complete.json")), distribution::UpdateResult::Applied);
+    EXPECT_EQ(lists::encode(log.complete_list()) + "\n", read_file("nodes_complete_served.json"));
 }
 
 TEST(ListFormat, ChangesAreServedInTheseBytes) {
     distribution::ChangeLog log(kMaxRemoved);
     log.apply(read_nodes("nodes_complete.json"));
-    ASSERT_EQ(log.apply(read_nodes("nodes_changes.json")), distribution::Taken::Yes);
+    ASSERT_EQ(log.apply(read_nodes("nodes_changes.json")), distribution::UpdateResult::Applied);
     EXPECT_EQ(lists::encode(log.changes(41, kMaxBytes, 41)) + "\n", read_file("nodes_changes_served.json"));
 }
 
@@ -90,7 +90,7 @@
               (std::set<std::string>{"s-5be2a07c", "s-77c1d0aa"}));
     distribution::ChangeLog log(kMaxRemoved);
     log.apply({file.version, true, {lists::document_member(config::kOperationsDocument, file.operations)}});
-    EXPECT_EQ(lists::encode(log.whole()) + "\n", read_file("documents_served.json"));
+    EXPECT_EQ(lists::encode(log.complete_list()) + "\n", read_file("documents_served.json"));
 }
 
 TEST(ListFormat, ServedDocumentsAreRead) {
