--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -10,16 +10,18 @@
 namespace marblewood::admin {
 namespace {
 
-constexpr std::size_t kMaxCallers = 12; ///< descriptors kept for them
+/// Limit on connections; the socket budget keeps descriptors in reserve for them.
+constexpr std::size_t kMaxCallers = 12;
 constexpr std::size_t kMaxCallBytes = 8192;
-/// us for a call to come and to be executed.
+/// Time limit for receiving and executing a call.
 constexpr Micros kCallTimeout = 2'000'000;
-/// us for a caller to read its reply: closed at once, what it still sends would cost it the reply.
-constexpr Micros kLingerTime = 200'000;
-/// Before the next accept after a failed one.
-constexpr auto kAcceptRetryPause = std::chrono::microseconds(10'000);
+/// Time for a caller to read its reply. If the connection were closed at once, data that the caller still
+/// sends would cause a reset, and the caller could lose the reply.
+constexpr Micros kLingerTimeout = 200'000;
+/// Delay before the next accept after a failed one.
+constexpr auto kAcceptRetryDelay = std::chrono::microseconds(10'000);
 
-constexpr std::string_view kPrefix = "/admin/";
+constexpr std::string_view kAdminPrefix = "/admin/";
 constexpr std::string_view kCellsPath = "/admin/cells";
 constexpr std::string_view kWherePrefix = "where/";
 
@@ -39,9 +41,9 @@
 }
 
 std::string trim(std::string text) {
-    const char *const blank = " \t\r\n";
-    text.erase(text.find_last_not_of(blank) + 1);
-    text.erase(0, text.find_first_not_of(blank));
+    const char *const whitespace = " \t\r\n";
+    text.erase(text.find_last_not_of(whitespace) + 1);
+    text.erase(0, text.find_first_not_of(whitespace));
     return text;
 }
 
@@ -68,17 +70,17 @@
     return contains(kChanges, call) ? CallKind::Change : CallKind::Unknown;
 }
 
-/// The response to a call that cannot be executed; empty where it can.
+/// The error response for an unknown call or a wrong method; empty if the call can be executed.
 std::string reject(CallKind kind, const std::string &method) {
     if (kind == CallKind::Unknown)
         return respond_not_found();
-    const bool read = kind == CallKind::Read;
-    if (method == (read ? "GET" : "POST"))
+    const bool read_only = kind == CallKind::Read;
+    if (method == (read_only ? "GET" : "POST"))
         return "";
-    return respond(405, "Method Not Allowed", "", read ? "Allow: GET\r\n" : "Allow: POST\r\n");
+    return respond(405, "Method Not Allowed", "", read_only ? "Allow: GET\r\n" : "Allow: POST\r\n");
 }
 
-const char *reason_of(int status) {
+const char *reason_phrase(int status) {
     if (status == 200)
         return "OK";
     return status == 503 ? "Service Unavailable" : "Conflict";
@@ -105,18 +107,18 @@
             co_return;
         if (error) {
             core::log("admin_accept_failed reason=\"{}\"", error.message());
-            co_await pause_after_failed_accept();
+            co_await wait_after_failed_accept();
             continue;
         }
-        // A call is answered as soon as it is complete, so who has waited longest sends nothing.
+        // A call is answered as soon as it is complete, so the oldest connection is one that sends nothing.
         if (callers_.size() >= kMaxCallers)
             callers_.front().close();
         asio::co_spawn(io_, serve(callers_.emplace(callers_.end(), std::move(socket))), asio::detached);
     }
 }
 
-asio::awaitable<void> AdminServer::pause_after_failed_accept() {
-    asio::steady_timer timer(io_, kAcceptRetryPause);
+asio::awaitable<void> AdminServer::wait_after_failed_accept() {
+    asio::steady_timer timer(io_, kAcceptRetryDelay);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -128,14 +130,14 @@
         boost::system::error_code error;
         co_await net::write_all(caller->socket, response, error);
         caller->socket.shutdown(tcp::socket::shutdown_send, error);
-        timeout = deadlines_.in(kLingerTime, [caller] { caller->close(); });
+        timeout = deadlines_.in(kLingerTimeout, [caller] { caller->close(); });
         co_await drain(*caller, error);
     }
     caller->close();
     callers_.erase(caller);
 }
 
-// The response; empty where the caller closed before its call was complete.
+// Returns the response, or an empty string if the caller closed the connection before its call was complete.
 asio::awaitable<std::string> AdminServer::receive_and_execute(Caller &caller) {
     std::string received;
     std::string response;
@@ -160,22 +162,22 @@
         error = co_await net::read_more(caller.socket, ignored);
 }
 
-// Calls about cells may have to wait for the coordinator; all others are executed at once.
+// Calls about cells may have to wait for the cell coordinator; all others are executed immediately.
 asio::awaitable<std::string> AdminServer::execute(net::http::Request request) {
     const std::string &target = request.target;
-    const bool cells = target.starts_with(kCellsPath) &&
-                       (target.size() == kCellsPath.size() || target[kCellsPath.size()] == '/');
-    if (cells && operations_.cells)
+    const bool is_cells_call = target.starts_with(kCellsPath) &&
+                               (target.size() == kCellsPath.size() || target[kCellsPath.size()] == '/');
+    if (is_cells_call && operations_.cells)
         co_return co_await execute_cells(std::move(request));
-    co_return execute_now(request);
+    co_return execute_local_call(request);
 }
 
 asio::awaitable<std::string> AdminServer::execute_cells(net::http::Request request) {
-    const bool named = request.target.size() > kCellsPath.size();
-    std::string call = named ? request.target.substr(kCellsPath.size() + 1) : "list";
+    const bool has_call_name = request.target.size() > kCellsPath.size();
+    std::string call = has_call_name ? request.target.substr(kCellsPath.size() + 1) : "list";
     const CallKind kind = kind_of_cells_call(call);
-    if (std::string rejected = reject(kind, request.method); !rejected.empty())
-        co_return rejected;
+    if (std::string rejection = reject(kind, request.method); !rejection.empty())
+        co_return rejection;
     std::string argument = trim(request.body);
     if (call.starts_with(kWherePrefix)) {
         argument = call.substr(kWherePrefix.size());
@@ -184,16 +186,16 @@
     if (kind == CallKind::Change)
         core::log("admin_call call=cells/{} argument=\"{}\"", call, argument);
     const Reply reply = co_await operations_.cells(call, argument);
-    co_return respond(reply.status, reason_of(reply.status), reply.text);
+    co_return respond(reply.status, reason_phrase(reply.status), reply.text);
 }
 
-std::string AdminServer::execute_now(const net::http::Request &request) {
-    if (!request.target.starts_with(kPrefix))
+std::string AdminServer::execute_local_call(const net::http::Request &request) {
+    if (!request.target.starts_with(kAdminPrefix))
         return respond_not_found();
-    const std::string call = request.target.substr(kPrefix.size());
+    const std::string call = request.target.substr(kAdminPrefix.size());
     const CallKind kind = kind_of_call(call);
-    if (std::string rejected = reject(kind, request.method); !rejected.empty())
-        return rejected;
+    if (std::string rejection = reject(kind, request.method); !rejection.empty())
+        return rejection;
     if (kind == CallKind::Change)
         return execute_change(call, trim(request.body));
     return call == "health" ? respond_ok() : respond(200, "OK", operations_.stats());
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// The admin interface: HTTP/1.1 under /admin/, one call to a connection. A reply is written once what was
-/// asked for is done. A caller that is slow, silent or one too many loses its connection and no other's.
+/// The admin interface: HTTP/1.1 under /admin/, one call per connection. The reply is written after the call
+/// has been executed. A connection that is slow, silent or above the limit on connections is closed without
+/// effect on the others.
 ///
-/// Threads: all of it runs on the io_context's one thread.
+/// Threads: everything runs on the io_context's single thread.
 #pragma once
 
 #include "net/http.hpp"
@@ -16,26 +17,28 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
+/// The result of an operation on cells.
 struct Reply {
-    int status = 0; ///< of HTTP
+    int status = 0; ///< HTTP status
     std::string text;
 };
 
-/// What the calls do. A call whose operation is not set is answered 404.
+/// The operations behind the calls. A call whose operation is not set is answered 404.
 struct Operations {
     std::function<std::string()> stats;
-    std::function<bool(const std::string &id)> cordon;   ///< false: no node has the id
-    std::function<bool(const std::string &id)> uncordon; ///< the same
+    std::function<bool(const std::string &id)> cordon;   ///< returns false if no node has the id
+    std::function<bool(const std::string &id)> uncordon; ///< returns false if no node has the id
     std::function<void(bool quiesced)> quiesce;
-    /// False: another process has taken over, and changes belong there.
+    /// Returns false after a successor process has taken over; changes must then be sent to the successor.
     std::function<bool()> accepts_changes;
-    /// Calls under `cells`: the name of the call, and its argument.
+    /// Executes a call below /admin/cells, given its name and argument.
     std::function<asio::awaitable<Reply>(std::string call, std::string argument)> cells;
 };
 
+/// Serves the admin interface.
 class AdminServer {
 public:
-    /// Serves on `acceptor` until the io_context ends.
+    /// Serves connections from `acceptor` until the io_context stops.
     AdminServer(asio::io_context &io, core::Deadlines &deadlines, tcp::acceptor acceptor,
                 Operations operations);
 
@@ -48,22 +51,23 @@
     using CallerIterator = std::list<Caller>::iterator;
 
     asio::awaitable<void> accept();
-    asio::awaitable<void> pause_after_failed_accept();
+    asio::awaitable<void> wait_after_failed_accept();
     asio::awaitable<void> serve(CallerIterator caller);
     asio::awaitable<std::string> receive_and_execute(Caller &caller);
-    /// Reads and drops what a caller still sends, until it closes or `error` is set.
+    /// Reads and discards what the caller still sends, until it closes the connection, an error occurs or the
+    /// limit on the size of a call is reached.
     static asio::awaitable<void> drain(Caller &caller, boost::system::error_code error);
 
     asio::awaitable<std::string> execute(net::http::Request request);
     asio::awaitable<std::string> execute_cells(net::http::Request request);
-    std::string execute_now(const net::http::Request &request);
+    std::string execute_local_call(const net::http::Request &request);
     std::string execute_change(const std::string &call, const std::string &argument);
 
     asio::io_context &io_;
     core::Deadlines &deadlines_;
     tcp::acceptor acceptor_;
     const Operations operations_;
-    std::list<Caller> callers_; ///< the first has been here the longest
+    std::list<Caller> callers_; ///< in the order in which they connected
 };
 
 } // namespace marblewood::admin
--- a/src/admin/statistics.cpp
+++ b/src/admin/statistics.cpp
@@ -5,59 +5,60 @@
 namespace marblewood::admin {
 namespace {
 
-/// The wire's names of Outcome::Kind, in its order.
+/// The names that metrics use for the enumerators of Outcome::Kind, in their order.
 constexpr std::array<std::string_view, 3> kOutcomeNames{"answered", "deferred", "errored"};
 
-class Writer {
+/// Formats metrics as StatsD text.
+class MetricsWriter {
 public:
-    void count(std::string_view name, std::uint64_t value) { line(name, value, 'c'); }
-    void gauge(std::string_view name, std::uint64_t value) { line(name, value, 'g'); }
+    void counter(std::string_view name, std::uint64_t value) { append_line(name, value, 'c'); }
+    void gauge(std::string_view name, std::uint64_t value) { append_line(name, value, 'g'); }
     std::string take() { return std::move(text_); }
 
 private:
-    void line(std::string_view name, std::uint64_t value, char type) {
+    void append_line(std::string_view name, std::uint64_t value, char type) {
         text_ += fmt::format("balancer.{}:{}|{}\n", name, value, type);
     }
     std::string text_;
 };
 
-void put_requests(Writer &out, const core::Metrics &metrics, const Settings &settings) {
+void write_requests(MetricsWriter &out, const core::Metrics &metrics, const Settings &settings) {
     for (std::size_t cls = 0; cls < metrics.completed.size(); ++cls)
         for (std::size_t kind = 0; kind < kOutcomeNames.size(); ++kind)
-            out.count(fmt::format("{}.{}", kOutcomeNames[kind], settings.classes[cls].name),
-                      metrics.completed[cls][kind]);
-    out.count("sends", metrics.attempts_written);
-    out.count("conf_loaded", metrics.reloads);
-    out.count("conf_invalid", metrics.reloads_failed);
+            out.counter(fmt::format("{}.{}", kOutcomeNames[kind], settings.classes[cls].name),
+                        metrics.completed[cls][kind]);
+    out.counter("sends", metrics.attempts_written);
+    out.counter("conf_loaded", metrics.reloads);
+    out.counter("conf_invalid", metrics.reloads_failed);
 }
 
-void put_costs(Writer &out, const net::Costs &costs) {
-    out.count("probes", costs.probes);
-    out.count("connections", costs.connections);
-    out.count("list_calls", costs.list_calls);
-    out.count("broken", costs.broken);
-    out.count("turned_away", costs.turned_away);
-    out.count("unsent", costs.unsent);
-    out.count("datagrams", costs.datagrams);
-    out.count("datagram_bytes", costs.datagram_bytes);
+void write_costs(MetricsWriter &out, const net::Costs &costs) {
+    out.counter("probes", costs.probes);
+    out.counter("connections", costs.connections);
+    out.counter("list_calls", costs.list_calls);
+    out.counter("broken", costs.broken);
+    out.counter("turned_away", costs.turned_away);
+    out.counter("unsent", costs.unsent);
+    out.counter("datagrams", costs.datagrams);
+    out.counter("datagram_bytes", costs.datagram_bytes);
     for (const auto &[name, value] : costs.overload)
-        out.count(name, value);
+        out.counter(name, value);
 }
 
-void put_retries(Writer &out, const core::Metrics &metrics) {
+void write_retries(MetricsWriter &out, const core::Metrics &metrics) {
     for (std::size_t status = 0; status < metrics.retries.size(); ++status)
-        out.count(fmt::format("repeats_{}", core::kStatusNames[status]), metrics.retries[status]);
-    out.count("hedges", metrics.hedges);
-    out.count("refused_closing", metrics.refused_closing);
-    out.count("withdrawn", metrics.answered_early);
+        out.counter(fmt::format("repeats_{}", core::kStatusNames[status]), metrics.retries[status]);
+    out.counter("hedges", metrics.hedges);
+    out.counter("refused_closing", metrics.refused_closing);
+    out.counter("withdrawn", metrics.answered_early);
 }
 
-void put_clients(Writer &out, const BrokerStatus &status) {
-    out.count("clients_accepted", status.clients.accepted);
+void write_clients(MetricsWriter &out, const BrokerStatus &status) {
+    out.counter("clients_accepted", status.clients.accepted);
     for (std::size_t reason = 0; reason < status.clients.closed.size(); ++reason)
-        out.count(fmt::format("clients_closed_{}", net::kCloseReasonNames[reason]),
-                  status.clients.closed[reason]);
-    out.count("clients_closed_unread", status.clients.closed_unread);
+        out.counter(fmt::format("clients_closed_{}", net::kCloseReasonNames[reason]),
+                    status.clients.closed[reason]);
+    out.counter("clients_closed_unread", status.clients.closed_unread);
     out.gauge("clients_open", status.clients_open);
     out.gauge("clients_closing", status.clients_closing);
 }
@@ -66,11 +67,11 @@
 
 std::string format_statistics(const core::Metrics &metrics, const Settings &settings,
                               const BrokerStatus &status) {
-    Writer out;
-    put_requests(out, metrics, settings);
-    put_costs(out, status.costs);
-    put_retries(out, metrics);
-    put_clients(out, status);
+    MetricsWriter out;
+    write_requests(out, metrics, settings);
+    write_costs(out, status.costs);
+    write_retries(out, metrics);
+    write_clients(out, status);
     out.gauge("current", status.open_requests);
     out.gauge("cluster_size", status.nodes);
     out.gauge("cluster_unhealthy", status.avoided_nodes);
--- a/src/admin/statistics.hpp
+++ b/src/admin/statistics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The broker's metrics in the text form of StatsD, as `GET /admin/stats` answers them. Names, order and
-/// types of the metrics are fixed: operators' tools read them (tests/fixtures/admin/).
+/// The broker's metrics in StatsD text format, as returned by `GET /admin/stats`. The names, order and types
+/// of the metrics are fixed, because operators' tools read them (see tests/fixtures/admin/).
 #pragma once
 
 #include "core/metrics.hpp"
@@ -11,7 +11,7 @@
 
 namespace marblewood::admin {
 
-/// What holds at present, beside the counts since the start.
+/// Current values, and those counters that are not part of core::Metrics.
 struct BrokerStatus {
     std::size_t open_requests = 0;
     std::size_t nodes = 0;
@@ -22,7 +22,7 @@
     std::size_t clients_closing = 0;
 };
 
-/// One line a figure: "balancer.NAME:VALUE|c" for counts, "|g" for gauges.
+/// Formats one line per metric: "balancer.NAME:VALUE|c" for counters, "balancer.NAME:VALUE|g" for gauges.
 std::string format_statistics(const core::Metrics &metrics, const Settings &settings,
                               const BrokerStatus &status);
 
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -21,17 +21,20 @@
 
 namespace {
 
-constexpr int kCellSockets = 32;  // set aside for other brokers and the coordinator, where there are cells
-constexpr int kLeastSockets = 64; // that the budget is given
-constexpr std::size_t kMemoryDivisor = 4; // a quarter of the memory is for requests and answers
-/// One descriptor in so many is for a client whose request is queued. Clients have a third of them or more,
-/// and in a hot restart two processes queue requests.
+/// Descriptors reserved for connections to other brokers and the cell coordinator, if cells are configured.
+constexpr int kReservedCellSockets = 32;
+/// Lower bound of the socket budget after that reservation.
+constexpr int kMinSocketBudget = 64;
+/// A quarter of the configured memory may be used for requests and answers.
+constexpr std::size_t kMemoryDivisor = 4;
+/// One request may be queued for each of this many descriptors. Clients get at least a third of the
+/// descriptors, and during a hot restart two processes queue requests.
 constexpr std::size_t kSocketsPerQueuedRequest = 8;
-constexpr std::size_t kLeastQueuedRequests = 4;
-/// Spreads the seeds of the dispatchers (2^64 divided by the golden ratio).
+constexpr std::size_t kMinQueuedRequests = 4;
+/// The difference between the seeds of two dispatchers: 2^64 divided by the golden ratio, which spreads them.
 constexpr std::uint64_t kSeedIncrement = 0x9e3779b97f4a7c15;
 
-/// The lower of the configured number and what the system allows.
+/// The configured number of sockets, limited to what the system allows (RLIMIT_NOFILE).
 int socket_limit(const config::Config &config) {
     rlimit files{};
     if (::getrlimit(RLIMIT_NOFILE, &files) != 0)
@@ -50,13 +53,14 @@
 Broker::Broker(std::string config_path, config::Config config, const config::Operator &operator_config)
     : config_path_(std::move(config_path)), config_(std::move(config)), operator_config_(operator_config),
       socket_limit_(socket_limit(config_)), cell_layout_(read_cell_layout(operator_config_)),
-      sockets_(cell_layout_ ? std::max(kLeastSockets, socket_limit_ - kCellSockets) : socket_limit_),
+      sockets_(cell_layout_ ? std::max(kMinSocketBudget, socket_limit_ - kReservedCellSockets)
+                            : socket_limit_),
       memory_((config_.memory_mb << 20) / kMemoryDivisor),
       nvme_mapping_(net::nvme::read_mapping(operator_config_.nvme, config_.settings)),
       resp_port_(io_.get_executor(), deadlines_, memory_, sockets_, config_.settings),
       nvme_port_(io_.get_executor(), deadlines_, sockets_, config_.settings, nvme_mapping_.block_bytes),
       ports_(resp_port_), random_(std::random_device{}()),
-      admin_listener_(
+      admin_acceptor_(
           config_.control.empty()
               ? std::nullopt
               : std::optional(net::listen_at(io_, address<tcp::endpoint>(config_.control, "control")))),
@@ -89,10 +93,10 @@
     core::log("broker_started name={} listen={}", config_.name, config_.listen);
 }
 
-void Broker::run(core::BlockedSignal &hangup) {
+void Broker::run(core::BlockedSignal &blocked_hangup) {
     reload_signals_.add(SIGHUP);
     await_reload_signal();
-    hangup.unblock();
+    blocked_hangup.unblock();
     GracefulShutdown shutdown(*termination_signals_, {.io = io_,
                                                       .deadlines = deadlines_,
                                                       .settings = config_.settings,
@@ -101,10 +105,10 @@
                                                       .process_handover = *process_handover_});
     shutdown.await_signal();
     io_.run();
-    core::log("process_ended connections_left={} connections_closed_unread={}", clients_->open(),
+    core::log("process_ended connections_left={} connections_closed_unread={}", clients_->open_connections(),
               clients_->metrics().closed_unread);
-    // Suspended coroutines in the io_context refer to other members. No order of destruction suits all of
-    // them, and nothing is left to be saved: exit without destructors.
+    // Suspended coroutines in the io_context refer to other members, so that no order of destruction is safe
+    // for all of them. No state remains to be saved, so the process exits without running destructors.
     std::fflush(nullptr);
     std::quick_exit(0);
 }
@@ -125,20 +129,21 @@
     }
 }
 
-/// Each dispatcher is a host of its own to the decision module, which then divides every host's part once
-/// more.
+/// Each dispatcher counts as a separate host in the decision module, which divides the plans' rates among
+/// hosts.
 Settings Broker::dispatcher_settings(int index) const {
     const int count = operator_config_.dispatchers;
     Settings settings = config_.settings;
     settings.hosts = config_.settings.hosts * count;
     settings.position = config_.settings.position * count + index;
     settings.seed = config_.settings.seed + static_cast<std::uint64_t>(index) * kSeedIncrement;
-    // Hosts that exchange messages are numbered as the peers are, which several dispatchers are not.
+    // The module addresses other hosts by their index in the list of peers. This works only with one
+    // dispatcher for each broker.
     settings.peers = config_.settings.peers && count == 1 && !config_.peer_listen.empty() &&
                      config_.peers.size() == static_cast<std::size_t>(config_.settings.hosts);
     settings.lends = operator_config_.lends;
     settings.max_queued_requests = std::max(
-        kLeastQueuedRequests, static_cast<std::size_t>(socket_limit_ / count) / kSocketsPerQueuedRequest);
+        kMinQueuedRequests, static_cast<std::size_t>(socket_limit_ / count) / kSocketsPerQueuedRequest);
     return settings;
 }
 
@@ -147,14 +152,14 @@
         return;
     const marblewood::cells::Broker *const self = cell_layout_->map.broker(config_.name);
     if (!self)
-        throw config::Error(fmt::format("field 'cells': no broker is called '{}'", config_.name));
+        throw config::Error(fmt::format("field 'cells': there is no broker named '{}'", config_.name));
     cell_router_.emplace(
         io_, deadlines_, memory_, sockets_, config_.settings, *cell_layout_, config_.name,
         net::listen_at(io_, address<tcp::endpoint>(self->link_address, "cells")), random_(),
         [this](const core::Request &request) -> core::RequestDispatcher & { return dispatcher_of(request); });
 }
 
-/// All requests of a volume go through one dispatcher.
+/// The dispatcher for a request; all requests of a volume go through the same one.
 core::RequestDispatcher &Broker::dispatcher_of(const core::Request &request) {
     const auto volume = static_cast<std::uint64_t>(request.arrival.volume);
     return *dispatchers_[volume % dispatchers_.size()];
@@ -180,12 +185,13 @@
                        [this](const discovery::ListResponse &response) { on_endpoints(response); });
 }
 
-/// Distributors, where there are any, are asked in place of discovery.
+/// If distributors are configured, the endpoint list is read from them instead of from discovery.
 void Broker::use_distributors() {
     if (!operator_config_.distribution.isNull()) {
         config::Distribution distribution = read_distributors(operator_config_.distribution);
         if (!discovery_)
-            throw config::Error("field 'discovery' is missing: distributors are asked in its place");
+            throw config::Error(
+                "missing field 'discovery': required with distributors, which are used in its place");
         distribution::DistributorSelector selector(std::move(distribution.distributors), config_.name,
                                                    distribution.locality, config_.settings.seed);
         if (distribution.documents)
@@ -210,7 +216,7 @@
         cell_router_->set_ready_nodes(endpoints_.ready_nodes());
 }
 
-/// With cells, only nodes of this broker's cell are used.
+/// With cells configured, restricts this broker to the nodes of its own cell.
 void Broker::confine_to_cell() {
     if (!cell_router_)
         return;
@@ -250,7 +256,7 @@
         dispatcher->peer_message(message);
 }
 
-/// The nodes that the configuration file names serve until discovery has answered.
+/// Loads the nodes listed in the configuration file, which are used until discovery has answered.
 void Broker::load_known_endpoints() {
     discovery::ListResponse known;
     if (!config_.known.isNull())
@@ -259,8 +265,9 @@
     on_endpoints(known);
 }
 
-/// Opens the NVMe/TCP listener first: it may have to wait for its address, and no client that has connected
-/// should. Signals are caught before clients may connect, so that a shutdown answers them.
+/// Opens the NVMe/TCP listener first: it may have to wait until its address is free, and no connected client
+/// should wait for that. Signal handlers are installed before clients can connect, so that clients get their
+/// answers in a shutdown.
 void Broker::start_client_servers() {
     std::optional<tcp::acceptor> nvme_listener;
     if (!nvme_mapping_.listen.empty())
@@ -285,8 +292,8 @@
                                         .peers = peers_,
                                         .cell_router = cell_router_});
     cost_log_.emplace(deadlines_, [this] { return stats_->costs(); });
-    if (admin_listener_)
-        admin_.emplace(io_, deadlines_, std::move(*admin_listener_), admin_operations());
+    if (admin_acceptor_)
+        admin_.emplace(io_, deadlines_, std::move(*admin_acceptor_), admin_operations());
     clients_->apply(quiesce_);
 }
 
@@ -304,7 +311,7 @@
     return operations;
 }
 
-/// The HTTP status and the text to answer with.
+/// Executes an operator's call about cells; returns the HTTP status and text of the reply.
 asio::awaitable<admin::Reply> Broker::cell_operation(std::string call, std::string body) {
     constexpr int kOk = 200;
     constexpr int kConflict = 409;
@@ -317,12 +324,12 @@
     co_return admin::Reply{reply->ok ? kOk : kConflict, reply->text};
 }
 
-/// False: no node has the id.
+/// Cordons or uncordons a node. Returns false if no node has this id.
 bool Broker::set_cordoned(const std::string &node, bool cordoned) {
     const bool known = cordoned ? endpoints_.cordon(node) : endpoints_.uncordon(node);
     report_ready_nodes();
     if (known)
-        process_handover_->tell_predecessor_cordon(node, cordoned);
+        process_handover_->forward_cordon_to_predecessor(node, cordoned);
     return known;
 }
 
@@ -331,7 +338,7 @@
         quiesce_.since = clock_.now();
     quiesce_.active = active;
     clients_->apply(quiesce_);
-    process_handover_->tell_predecessor_quiesce(active);
+    process_handover_->forward_quiesce_to_predecessor(active);
 }
 
 void Broker::start_process_handover() {
@@ -357,21 +364,21 @@
         if (error)
             return;
         reload_config(config_path_, config_, metrics_,
-                      [this](const tcp::endpoint &address, const std::string &spelling) {
-                          move_discovery(address, spelling);
+                      [this](const tcp::endpoint &address, const std::string &configured_text) {
+                          set_discovery_address(address, configured_text);
                       });
         await_reload_signal();
     });
 }
 
-void Broker::move_discovery(const tcp::endpoint &address, const std::string &spelling) {
+void Broker::set_discovery_address(const tcp::endpoint &address, const std::string &configured_text) {
     if (!operator_config_.distribution.isNull()) {
         core::log("discovery_change_ignored reason=distributors_configured");
         return;
     }
     if (!discovery_)
-        start_discovery({address, spelling}, 0);
-    discovery_->move_to({address, spelling});
+        start_discovery({address, configured_text}, 0);
+    discovery_->move_to({address, configured_text});
 }
 
 } // namespace marblewood::app
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The broker process: creates its parts, connects them and runs the loop.
+/// The broker process: creates its parts, connects them and runs the event loop.
 #pragma once
 
 #include "admin/admin_server.hpp"
@@ -28,20 +28,20 @@
 
 namespace marblewood::app {
 
-/// Everything runs on the thread that calls run(). The parts are members in the order in which they are
-/// created: each refers only to parts above it, unless it says otherwise.
+/// Everything runs on the thread that calls run(). The members are declared in the order in which they are
+/// created; each refers only to members declared above it, except where a comment says otherwise.
 class Broker {
 public:
-    /// Creates all parts; the broker accepts clients from then on. Throws config::Error naming the setting
-    /// that is wrong, or boost::system::system_error for an address that can't be listened at.
+    /// Creates all parts and starts to accept clients. Throws config::Error naming the invalid setting, or
+    /// boost::system::system_error if a listening address cannot be used.
     Broker(std::string config_path, config::Config config, const config::Operator &operator_config);
 
-    /// Serves until SIGTERM or SIGINT, then shuts down (GracefulShutdown) and exits the process. `hangup` is
-    /// unblocked once SIGHUP is handled.
-    [[noreturn]] void run(core::BlockedSignal &hangup);
+    /// Serves until SIGTERM or SIGINT, then shuts down (see GracefulShutdown) and exits the process.
+    /// `blocked_hangup` is unblocked once SIGHUP has a handler.
+    [[noreturn]] void run(core::BlockedSignal &blocked_hangup);
 
 private:
-    // Steps of the construction, in their order.
+    // Steps of the construction, in order.
     void create_dispatchers();
     void create_cell_router();
     void watch_endpoints();
@@ -69,7 +69,8 @@
     void set_quiesced(bool active);
 
     void await_reload_signal();
-    void move_discovery(const boost::asio::ip::tcp::endpoint &address, const std::string &spelling);
+    void set_discovery_address(const boost::asio::ip::tcp::endpoint &address,
+                               const std::string &configured_text);
 
     const std::string config_path_;
     config::Config config_;
@@ -90,13 +91,14 @@
     net::Ports ports_;
     std::mt19937_64 random_;
 
-    // Opened before the predecessor is asked for its state: an address that is in use must not interrupt it.
-    std::optional<boost::asio::ip::tcp::acceptor> admin_listener_;
+    // Opened before the predecessor is asked for its state: if the address is in use, this process fails to
+    // start without having interrupted the predecessor.
+    std::optional<boost::asio::ip::tcp::acceptor> admin_acceptor_;
     const std::string handover_path_;
     Predecessor predecessor_;
 
-    std::optional<discovery::DiscoveryClient> discovery_; // set up below endpoints_, to which it reports
-    std::optional<list_distribution::DocumentWatch> documents_; // the same
+    std::optional<discovery::DiscoveryClient> discovery_; // created after endpoints_, to which it reports
+    std::optional<list_distribution::DocumentWatch> documents_; // also reports to endpoints_
     std::optional<gossip::GossipTransport> peers_;              // reports to dispatchers_
     net::EndpointRegistry::Dispatchers dispatchers_;
     core::Metrics metrics_;
--- a/src/app/broker_stats.cpp
+++ b/src/app/broker_stats.cpp
@@ -12,9 +12,9 @@
 net::Counts overload_counts(const net::EndpointRegistry::Dispatchers &dispatchers) {
     net::Counts sum{};
     for (const auto &dispatcher : dispatchers) {
-        const net::Counts one = net::counts(dispatcher->overload());
-        for (std::size_t n = 0; n < one.size(); ++n)
-            sum[n] = {one[n].first, sum[n].second + one[n].second};
+        const net::Counts counts = net::counts(dispatcher->overload());
+        for (std::size_t n = 0; n < counts.size(); ++n)
+            sum[n] = {counts[n].first, sum[n].second + counts[n].second};
     }
     return sum;
 }
@@ -24,36 +24,36 @@
 net::Costs BrokerStats::costs() const {
     using Kind = core::Outcome::Kind;
     net::Costs costs;
-    costs.requests = from_.metrics.total();
-    costs.probes = from_.metrics.probes;
-    costs.connections = from_.sockets.opened();
-    costs.list_calls = from_.discovery ? from_.discovery->metrics().calls : 0;
-    costs.failed = from_.metrics.total(Kind::Failed);
-    costs.broken = from_.metrics.streams_broken;
-    costs.turned_away = from_.metrics.malformed_requests;
-    costs.refused = from_.metrics.total(Kind::Refused);
-    costs.unsent = from_.metrics.refused_unsent;
-    costs.datagrams = from_.peers ? from_.peers->datagrams_sent() : 0;
-    costs.datagram_bytes = from_.peers ? from_.peers->bytes_sent() : 0;
-    costs.overload = overload_counts(from_.dispatchers);
+    costs.requests = sources_.metrics.total();
+    costs.probes = sources_.metrics.probes;
+    costs.connections = sources_.sockets.opened();
+    costs.list_calls = sources_.discovery ? sources_.discovery->metrics().calls : 0;
+    costs.failed = sources_.metrics.total(Kind::Failed);
+    costs.broken = sources_.metrics.streams_broken;
+    costs.turned_away = sources_.metrics.malformed_requests;
+    costs.refused = sources_.metrics.total(Kind::Refused);
+    costs.unsent = sources_.metrics.refused_unsent;
+    costs.datagrams = sources_.peers ? sources_.peers->datagrams_sent() : 0;
+    costs.datagram_bytes = sources_.peers ? sources_.peers->bytes_sent() : 0;
+    costs.overload = overload_counts(sources_.dispatchers);
     return costs;
 }
 
 std::string BrokerStats::text() const {
     admin::BrokerStatus status;
-    status.open_requests = from_.endpoints.open_requests();
-    status.nodes = from_.endpoints.size();
-    status.avoided_nodes = from_.endpoints.avoided_nodes();
+    status.open_requests = sources_.endpoints.open_requests();
+    status.nodes = sources_.endpoints.size();
+    status.avoided_nodes = sources_.endpoints.avoided_nodes();
     status.costs = costs();
-    status.clients = from_.clients.metrics();
-    status.clients_open = from_.clients.open();
-    status.clients_closing = from_.clients.closing();
-    std::string text = admin::format_statistics(from_.metrics, from_.settings, status);
-    if (from_.documents)
+    status.clients = sources_.clients.metrics();
+    status.clients_open = sources_.clients.open_connections();
+    status.clients_closing = sources_.clients.closing_connections();
+    std::string text = admin::format_statistics(sources_.metrics, sources_.settings, status);
+    if (sources_.documents)
         text += fmt::format("balancer.configuration_version:{}|g\nbalancer.configuration_refused:{}|c\n",
-                            from_.documents->applied_version(), from_.documents->rejected());
-    if (from_.cell_router)
-        text += from_.cell_router->stats();
+                            sources_.documents->applied_version(), sources_.documents->rejected());
+    if (sources_.cell_router)
+        text += sources_.cell_router->stats();
     return text;
 }
 
--- a/src/app/broker_stats.hpp
+++ b/src/app/broker_stats.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The broker's metrics as the admin interface and the log report them.
+/// The broker's metrics as reported by the admin interface and the log.
 #pragma once
 
 #include "app/client_servers.hpp"
@@ -17,7 +17,7 @@
 
 namespace marblewood::app {
 
-/// Collects metrics from all parts of the broker, which outlive it.
+/// Collects metrics from all parts of the broker, which must outlive this object.
 class BrokerStats {
 public:
     struct Sources {
@@ -33,14 +33,14 @@
         const std::optional<net::cells::CellRouter> &cell_router;
     };
 
-    explicit BrokerStats(Sources sources) : from_(sources) {}
-    /// What the broker asks of other hosts, for the log and as part of text().
+    explicit BrokerStats(Sources sources) : sources_(sources) {}
+    /// Counts of the load that the broker puts on other hosts, for the log and as part of text().
     net::Costs costs() const;
-    /// All metrics, one a line, in the form of StatsD.
+    /// All metrics in StatsD format, one per line.
     std::string text() const;
 
 private:
-    Sources from_;
+    Sources sources_;
 };
 
 } // namespace marblewood::app
--- a/src/app/cell_coordinator.cpp
+++ b/src/app/cell_coordinator.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-net::cells::Layout read_operators_layout(const std::string &path) {
-    const config::Operator operators = config::load_operator(path);
-    if (operators.cells.isNull())
+net::cells::Layout load_layout(const std::string &path) {
+    const config::Operator operator_config = config::load_operator(path);
+    if (operator_config.cells.isNull())
         throw config::Error("missing field 'cells': give --operator a file with cells");
-    return net::cells::read_layout(operators.cells);
+    return net::cells::read_layout(operator_config.cells);
 }
 
 std::uint64_t random_seed() {
@@ -41,10 +41,10 @@
     return operations;
 }
 
-/// Reads the operators' file again; a file that is wrong is logged and changes nothing.
-void reload_layout(net::cells::CoordinatorServer &server, const std::string &operators) {
+/// Reads the operator's file again. An invalid file is logged and has no other effect.
+void reload_layout(net::cells::CoordinatorServer &server, const std::string &operator_file) {
     try {
-        server.reload_layout(read_operators_layout(operators));
+        server.reload_layout(load_layout(operator_file));
     } catch (const std::exception &error) {
         core::log("coordinator_layout_rejected reason=\"{}\"", error.what());
     }
@@ -52,8 +52,8 @@
 
 } // namespace
 
-int run_cell_coordinator(const std::string &operators, core::BlockedSignal &hangup) {
-    const net::cells::Layout layout = read_operators_layout(operators);
+int run_cell_coordinator(const std::string &operator_file, core::BlockedSignal &blocked_hangup) {
+    const net::cells::Layout layout = load_layout(operator_file);
     asio::io_context io(1);
     core::Clock clock;
     core::Deadlines deadlines(io, clock);
@@ -61,30 +61,30 @@
         io, deadlines, layout,
         net::listen_at(io, address<tcp::endpoint>(layout.coordinator_link, "cells.keeper.link")),
         random_seed());
-    admin::AdminServer control(
+    admin::AdminServer admin(
         io, deadlines,
         net::listen_at(io, address<tcp::endpoint>(layout.coordinator_control, "cells.keeper.control")),
         operations_of(server));
     core::log("coordinator_started cells={} link={}", layout.map.cells.size(), layout.coordinator_link);
-    asio::signal_set hangups(io, SIGHUP);
-    const std::function<void()> await_hangup = [&] {
-        hangups.async_wait([&](const boost::system::error_code &error, int) {
+    asio::signal_set reload_signals(io, SIGHUP);
+    const std::function<void()> await_reload_signal = [&] {
+        reload_signals.async_wait([&](const boost::system::error_code &error, int) {
             if (error)
                 return;
-            reload_layout(server, operators);
-            await_hangup();
+            reload_layout(server, operator_file);
+            await_reload_signal();
         });
     };
-    await_hangup();
-    hangup.unblock();
-    asio::signal_set signals(io, SIGTERM, SIGINT);
-    signals.async_wait([&](const boost::system::error_code &error, int) {
+    await_reload_signal();
+    blocked_hangup.unblock();
+    asio::signal_set termination_signals(io, SIGTERM, SIGINT);
+    termination_signals.async_wait([&](const boost::system::error_code &error, int) {
         if (!error)
             io.stop();
     });
     io.run();
     core::log("coordinator_stopped");
-    std::fflush(nullptr); // no destructors: coroutines refer to the objects above, as in serve()
+    std::fflush(nullptr); // exits without destructors, as suspended coroutines refer to the objects above
     std::quick_exit(0);
 }
 
--- a/src/app/cells_call.cpp
+++ b/src/app/cells_call.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The sub-command `cells`: one operator's call over HTTP.
+/// The sub-command `cells`: sends one operator call over HTTP.
 #include "app/app.hpp"
 
 #include "core/clock.hpp"
@@ -17,28 +17,28 @@
 
 namespace {
 
-constexpr Micros kCallTimeout = 3'000'000; // us
-constexpr int kOkStatus = 200;
-enum ExitCode { Done = 0, Refused = 1, NoReply = 2 };
+constexpr Micros kCallTimeout = 3'000'000;
+constexpr int kHttpOk = 200;
+enum ExitCode { Done = 0, Rejected = 1, NoAnswer = 2 };
 
-std::string join(const std::vector<std::string> &words) {
+std::string join(const std::vector<std::string> &arguments) {
     std::string joined;
-    for (const std::string &word : words)
-        joined += (joined.empty() ? "" : " ") + word;
+    for (const std::string &argument : arguments)
+        joined += (joined.empty() ? "" : " ") + argument;
     return joined;
 }
 
-std::string http_request(const std::string &control, const std::string &call,
-                         const std::vector<std::string> &words) {
-    const bool reads = call == "list" || call == "here" || call == "where";
+std::string http_request(const std::string &host, const std::string &call,
+                         const std::vector<std::string> &arguments) {
+    const bool read_only = call == "list" || call == "here" || call == "where";
     std::string path = call;
-    std::string body = join(words);
+    std::string body = join(arguments);
     if (call == "where") {
         path += "/" + body;
         body.clear();
     }
     return fmt::format("{} /admin/cells/{} HTTP/1.1\r\nHost: {}\r\nContent-Length: {}\r\n\r\n{}",
-                       reads ? "GET" : "POST", path, control, body.size(), body);
+                       read_only ? "GET" : "POST", path, host, body.size(), body);
 }
 
 asio::awaitable<std::optional<net::http::Response>> exchange(asio::io_context &io, core::Deadlines &deadlines,
@@ -52,8 +52,9 @@
 
 } // namespace
 
-int call_cells(const std::string &control, const std::string &call, const std::vector<std::string> &words) {
-    const auto control_address = address<tcp::endpoint>(control, "--control");
+int call_cells(const std::string &admin_address, const std::string &call,
+               const std::vector<std::string> &arguments) {
+    const auto endpoint = address<tcp::endpoint>(admin_address, "--control");
     asio::io_context io(1);
     core::Clock clock;
     core::Deadlines deadlines(io, clock);
@@ -61,16 +62,17 @@
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            response = co_await exchange(io, deadlines, control_address, http_request(control, call, words));
+            response =
+                co_await exchange(io, deadlines, endpoint, http_request(admin_address, call, arguments));
         },
         asio::detached);
     io.run();
     if (!response) {
-        fmt::print(stderr, "{} does not answer\n", control);
-        return ExitCode::NoReply;
+        fmt::print(stderr, "{} does not answer\n", admin_address);
+        return ExitCode::NoAnswer;
     }
     fmt::print("{}", response->body);
-    return response->status == kOkStatus ? ExitCode::Done : ExitCode::Refused;
+    return response->status == kHttpOk ? ExitCode::Done : ExitCode::Rejected;
 }
 
 } // namespace marblewood::app
--- a/src/app/client_servers.cpp
+++ b/src/app/client_servers.cpp
@@ -18,11 +18,11 @@
                   });
 }
 
-std::size_t ClientServers::open() const {
+std::size_t ClientServers::open_connections() const {
     return resp_.open() + (nvme_ ? nvme_->open() : 0);
 }
 
-std::size_t ClientServers::closing() const {
+std::size_t ClientServers::closing_connections() const {
     return resp_.closing() + (nvme_ ? nvme_->closing() : 0);
 }
 
@@ -45,10 +45,10 @@
 }
 
 void ClientServers::drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done) {
-    const auto servers_left = std::make_shared<int>(nvme_ ? 2 : 1);
-    const auto server_done = [servers_left, done = std::move(done)] {
-        --*servers_left;
-        if (*servers_left == 0)
+    const auto servers_draining = std::make_shared<int>(nvme_ ? 2 : 1);
+    const auto server_done = [servers_draining, done = std::move(done)] {
+        --*servers_draining;
+        if (*servers_draining == 0)
             done();
     };
     resp_.drain(close_connections_at, answer_all_at, server_done);
--- a/src/app/client_servers.hpp
+++ b/src/app/client_servers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The servers that accept clients: RESP2, and NVMe/TCP where the operator's file configures it.
+/// The servers that accept clients: RESP2, and NVMe/TCP if the operator's file configures it.
 #pragma once
 
 #include "core/request_handler.hpp"
@@ -13,36 +13,39 @@
 
 namespace marblewood::app {
 
-/// Whether operators send clients away (quiesce), and since when.
+/// Whether operators have quiesced the broker, which closes client connections between requests, and since
+/// when.
 struct QuiesceState {
     bool active = false;
-    Micros since = 0; ///< Unix time in us; only while `active`
+    Micros since = 0; ///< Unix time; meaningful only while `active`
 
     std::optional<Micros> active_since() const { return active ? std::optional(since) : std::nullopt; }
 };
 
-/// Both servers as one. Accepts from construction on. Used on the loop's thread alone.
+/// Both servers behind one interface. They accept clients from construction on. Used only on the event loop's
+/// thread.
 class ClientServers {
 public:
     using Acceptor = boost::asio::ip::tcp::acceptor;
 
-    /// The references outlive it.
+    /// The references must outlive this object.
     ClientServers(boost::asio::io_context &io, net::SocketBudget &sockets,
                   const core::FrontEndServices &services, const net::nvme::Mapping &nvme_mapping,
                   Acceptor resp_listener, std::optional<Acceptor> nvme_listener);
 
     net::Clients &resp() { return resp_; }
-    /// Null where NVMe/TCP is not configured.
+    /// Null if NVMe/TCP is not configured.
     net::Clients *nvme() { return nvme_ ? &*nvme_ : nullptr; }
 
-    std::size_t open() const;    ///< connections
-    std::size_t closing() const; ///< of those: told to end
+    std::size_t open_connections() const;
+    /// How many of the open connections are being closed.
+    std::size_t closing_connections() const;
     const net::ClientFigures &metrics() const { return metrics_; }
 
     void apply(const QuiesceState &state);
     void pause_accepting();
     void resume_accepting();
-    /// Closes all connections; see ShutdownSchedule. `done` is called once none is left.
+    /// Closes all connections at the given times, see ShutdownSchedule. Calls `done` once none is left.
     void drain(Micros close_connections_at, Micros answer_all_at, std::function<void()> done);
 
 private:
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -13,17 +13,17 @@
 
 using boost::asio::ip::tcp;
 
-/// The command line, parsed.
+/// The parsed command line.
 struct Arguments {
     std::string config_file;
     std::string operator_file;
     std::string distributor_file;
-    std::string cells_control; ///< admin address of a coordinator or broker
+    std::string cells_admin_address; ///< admin address of a coordinator or broker
     std::string cells_call;
-    std::vector<std::string> cells_words;
+    std::vector<std::string> cells_arguments;
 };
 
-/// The sub-commands, owned by the CLI::App; at most one of them is parsed.
+/// The sub-commands, owned by the CLI::App. At most one of them is used in a run.
 struct SubCommands {
     CLI::App *version;
     CLI::App *check_config;
@@ -33,33 +33,34 @@
 };
 
 CLI::App *add_cells(CLI::App &app, Arguments &arguments) {
-    auto *cells = app.add_subcommand("cells", "ask a keeper or broker about cells, or have it change them");
-    cells->add_option("--control", arguments.cells_control, "its operators' address")->required();
+    auto *cells = app.add_subcommand("cells", "query or change the cells of a keeper or broker");
+    cells->add_option("--control", arguments.cells_admin_address, "admin address of the keeper or broker")
+        ->required();
     cells
         ->add_option("call", arguments.cells_call,
                      "list, here, where, move, pin, unpin, freeze, unfreeze, evacuate or restore")
         ->required();
-    cells->add_option("words", arguments.cells_words, "a volume, a cell, or a volume and a cell");
+    cells->add_option("words", arguments.cells_arguments, "a volume, a cell, or a volume and a cell");
     return cells;
 }
 
 SubCommands define(CLI::App &app, Arguments &arguments) {
-    app.add_option("--config", arguments.config_file, "configuration file; $BALANCER_CONFIG otherwise")
+    app.add_option("--config", arguments.config_file, "configuration file; default: $BALANCER_CONFIG")
         ->envname("BALANCER_CONFIG");
     app.add_option("--operator", arguments.operator_file,
-                   "the operator's own file: NVMe/TCP, OTLP, planners, cells")
+                   "the operator's file: NVMe/TCP, OTLP, planners, distribution, cells")
         ->envname("MARBLEWOOD_OPERATOR");
     app.fallthrough();
     SubCommands commands{};
     commands.version = app.add_subcommand("version", "print the version");
-    commands.check_config =
-        app.add_subcommand("check-config", "read the configuration and say what is wrong with it");
+    commands.check_config = app.add_subcommand("check-config", "check the configuration and report errors");
     app.add_subcommand("serve", "serve clients (the default)");
     commands.coordinator =
-        app.add_subcommand("keeper", "keep the map of cells that the operator's file lays out");
-    commands.distributor =
-        app.add_subcommand("distribute", "watch discovery and serve its list to brokers (docs/CAPACITY.md)");
-    commands.distributor->add_option("file", arguments.distributor_file, "the distributor's own file")
+        app.add_subcommand("keeper", "run the cell coordinator for the cells in the operator's file");
+    commands.distributor = app.add_subcommand(
+        "distribute", "run a distributor, which serves discovery's list to brokers (docs/CAPACITY.md)");
+    commands.distributor
+        ->add_option("file", arguments.distributor_file, "the distributor's configuration file")
         ->required();
     commands.cells = add_cells(app, arguments);
     app.require_subcommand(0, 1);
@@ -77,7 +78,7 @@
     return config;
 }
 
-/// Decodes every part of the operator's file, so that an error shows before anything is started.
+/// Decodes every part of the operator's file, so that an error is reported before anything is started.
 void validate(const config::Operator &operator_config, const Settings &settings) {
     net::nvme::read_mapping(operator_config.nvme, settings);
     if (!operator_config.otlp.isNull())
@@ -88,17 +89,17 @@
         read_distributors(operator_config.distribution);
 }
 
-int run(const SubCommands &commands, const Arguments &arguments, core::BlockedSignal &hangup) {
+int run(const SubCommands &commands, const Arguments &arguments, core::BlockedSignal &blocked_hangup) {
     if (*commands.version) {
         fmt::print("marblewood {}\n", MARBLEWOOD_VERSION);
         return EXIT_SUCCESS;
     }
     if (*commands.cells)
-        return call_cells(arguments.cells_control, arguments.cells_call, arguments.cells_words);
+        return call_cells(arguments.cells_admin_address, arguments.cells_call, arguments.cells_arguments);
     if (*commands.coordinator)
-        return run_cell_coordinator(arguments.operator_file, hangup);
+        return run_cell_coordinator(arguments.operator_file, blocked_hangup);
     if (*commands.distributor)
-        return distribute(arguments.distributor_file, hangup);
+        return distribute(arguments.distributor_file, blocked_hangup);
     const config::Config config = load_config(arguments.config_file);
     const config::Operator operator_config = config::load_operator(arguments.operator_file);
     validate(operator_config, config.settings);
@@ -106,7 +107,7 @@
         fmt::print("{}: in order\n", arguments.config_file);
         return EXIT_SUCCESS;
     }
-    serve(arguments.config_file, config, operator_config, hangup);
+    serve(arguments.config_file, config, operator_config, blocked_hangup);
 }
 
 } // namespace
@@ -120,13 +121,13 @@
 
 int command(int argc, char **argv) {
     std::signal(SIGPIPE, SIG_IGN);
-    core::BlockedSignal hangup(SIGHUP);
+    core::BlockedSignal blocked_hangup(SIGHUP);
     CLI::App app{"marblewood, a broker between clients and storage nodes"};
     Arguments arguments;
     const SubCommands commands = define(app, arguments);
     CLI11_PARSE(app, argc, argv);
     try {
-        return run(commands, arguments, hangup);
+        return run(commands, arguments, blocked_hangup);
     } catch (const std::exception &error) {
         fmt::print(stderr, "marblewood: {}\n", error.what());
         return EXIT_FAILURE;
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -10,7 +10,7 @@
 
 using boost::asio::ip::tcp;
 
-/// `known` must be readable, although the running process has a newer list already.
+/// Checks that `known` can be decoded. The running process does not use it, as it has a newer list already.
 void check_known_nodes(const config::Config &config) {
     if (config.known.isNull())
         return;
@@ -19,14 +19,15 @@
     discovery::decode_node_list(config.known, nodes, zones);
 }
 
-/// `discovery` moves at once; `known` and `seed` matter only at a start and may differ from one to the next.
-bool may_change_without_notice(const std::string &field) {
+/// Whether a change of this field is not worth a log line. `discovery` takes effect at once; `known` and
+/// `seed` are used only at a start and may differ from one start to the next.
+bool needs_no_restart(const std::string &field) {
     return field == "discovery" || field == "known" || field == "seed";
 }
 
-void log_fields_that_need_restart(const config::Config &fresh, const config::Config &current) {
-    for (const std::string &field : fresh.file.getMemberNames()) {
-        if (!may_change_without_notice(field) && fresh.file[field] != current.file[field])
+void log_changes_that_need_restart(const config::Config &reloaded, const config::Config &current) {
+    for (const std::string &field : reloaded.file.getMemberNames()) {
+        if (!needs_no_restart(field) && reloaded.file[field] != current.file[field])
             core::log("config_change_needs_restart field={}", field);
     }
 }
@@ -34,17 +35,17 @@
 } // namespace
 
 void reload_config(const std::string &path, config::Config &config, core::Metrics &metrics,
-                   const DiscoveryMoved &on_discovery_moved) {
+                   const DiscoveryChanged &on_discovery_changed) {
     try {
-        const config::Config fresh = config::load(path);
-        const auto discovery = address<tcp::endpoint>(fresh.discovery, "discovery");
-        address<tcp::endpoint>(fresh.listen, "listen");
-        check_known_nodes(fresh);
-        log_fields_that_need_restart(fresh, config);
-        core::log("config_reloaded discovery={}", fresh.discovery);
-        if (fresh.discovery != config.discovery)
-            on_discovery_moved(discovery, fresh.discovery);
-        config.discovery = fresh.discovery;
+        const config::Config reloaded = config::load(path);
+        const auto discovery = address<tcp::endpoint>(reloaded.discovery, "discovery");
+        address<tcp::endpoint>(reloaded.listen, "listen");
+        check_known_nodes(reloaded);
+        log_changes_that_need_restart(reloaded, config);
+        core::log("config_reloaded discovery={}", reloaded.discovery);
+        if (reloaded.discovery != config.discovery)
+            on_discovery_changed(discovery, reloaded.discovery);
+        config.discovery = reloaded.discovery;
         ++metrics.reloads;
     } catch (const std::exception &error) {
         ++metrics.reloads_failed;
--- a/src/app/config_reload.hpp
+++ b/src/app/config_reload.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rereads the configuration file at SIGHUP.
+/// Reloads the configuration file at SIGHUP.
 #pragma once
 
 #include "config/config.hpp"
@@ -11,14 +11,14 @@
 
 namespace marblewood::app {
 
-/// Called with the new address of discovery, resolved and as it is spelled.
-using DiscoveryMoved =
-    std::function<void(const boost::asio::ip::tcp::endpoint &address, const std::string &spelling)>;
+/// Called with the new address of discovery: resolved, and as written in the configuration file.
+using DiscoveryChanged =
+    std::function<void(const boost::asio::ip::tcp::endpoint &address, const std::string &configured_text)>;
 
-/// Reads the file at `path` again. An error in any part of it is logged and leaves everything as it is. Only
-/// a change of `discovery` takes effect at once, by way of `on_discovery_moved`; changes of other fields are
-/// logged and take effect at the next start.
+/// Reads the file at `path` again. An error in any part of it is logged, and nothing changes. Only a change
+/// of `discovery` takes effect at once, through `on_discovery_changed`. Changes of other fields, except
+/// `known` and `seed`, are logged; they take effect at the next start.
 void reload_config(const std::string &path, config::Config &config, core::Metrics &metrics,
-                   const DiscoveryMoved &on_discovery_moved);
+                   const DiscoveryChanged &on_discovery_changed);
 
 } // namespace marblewood::app
--- a/src/app/distribute.cpp
+++ b/src/app/distribute.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// The sub-command `distribute`: runs a distributor.
 #include "admin/admin_server.hpp"
 #include "app/app.hpp"
 #include "app/distributor_stats.hpp"
@@ -38,13 +40,13 @@
 }
 
 /// A distributor: watches the endpoint list and the configuration documents at its parents, and serves both
-/// to its callers. Everything runs on the thread that calls run(); `config` outlives it.
+/// to its callers. Everything runs on the thread that calls run(); `config` must outlive this object.
 class DistributorProcess {
 public:
     DistributorProcess(const config::DistributorConfig &config, std::uint64_t seed)
         : config_(config), server_(io_, deadlines_, net::listen_at(io_, listen_address(config)),
                                    {config.limits, config.most_removed, config.most_callers}) {
-        watch_nodes(seed);
+        watch_endpoint_list(seed);
         if (!config.document_file.empty())
             load_documents();
         if (!config.document_parents.empty())
@@ -54,12 +56,12 @@
     }
 
     /// Serves until SIGTERM or SIGINT.
-    void run(core::BlockedSignal &hangup) {
+    void run(core::BlockedSignal &blocked_hangup) {
         core::log("distributor_started name={} listen={}", config_.name, config_.listen);
         await_reload_signal();
-        hangup.unblock();
-        asio::signal_set signals(io_, SIGTERM, SIGINT);
-        signals.async_wait([&](const boost::system::error_code &error, int) {
+        blocked_hangup.unblock();
+        asio::signal_set termination_signals(io_, SIGTERM, SIGINT);
+        termination_signals.async_wait([&](const boost::system::error_code &error, int) {
             if (!error)
                 io_.stop();
         });
@@ -68,31 +70,32 @@
     }
 
 private:
-    distribution::DistributorSelector selector(const std::vector<distribution::Distributor> &parents,
-                                               std::uint64_t seed) const {
+    distribution::DistributorSelector make_selector(const std::vector<distribution::Distributor> &parents,
+                                                    std::uint64_t seed) const {
         return {parents, config_.name, config_.locality, seed};
     }
 
-    void watch_nodes(std::uint64_t seed) {
-        auto parents = selector(config_.parents, seed);
+    void watch_endpoint_list(std::uint64_t seed) {
+        auto parents = make_selector(config_.parents, seed);
         const std::string first_parent = parents.current().address;
-        nodes_watch_.emplace(io_, deadlines_, list_distribution::shared_service(seed),
-                             source_address(first_parent, "parents.address"), discovery::kNoRevision,
-                             discovery::node_list(node_names_, zone_names_),
-                             [this](const discovery::ListResponse &response) { on_nodes(response); });
-        nodes_watch_->use_distributors(std::move(parents));
+        endpoint_list_watch_.emplace(
+            io_, deadlines_, list_distribution::shared_service(seed),
+            source_address(first_parent, "parents.address"), discovery::kNoRevision,
+            discovery::node_list(node_names_, zone_names_),
+            [this](const discovery::ListResponse &response) { on_endpoint_list(response); });
+        endpoint_list_watch_->use_distributors(std::move(parents));
     }
 
-    /// Names are needed only while an answer is decoded, so that they need not be kept for nodes that have
-    /// gone.
-    void on_nodes(const discovery::ListResponse &response) {
+    /// The numbers assigned to names are used only while a response is decoded. All are discarded
+    /// after each one, so that none are kept for nodes that have left the list.
+    void on_endpoint_list(const discovery::ListResponse &response) {
         node_names_.forget_if([](std::uint32_t) { return true; });
         zone_names_.forget_if([](std::uint32_t) { return true; });
         publish(Channel::Nodes, list_distribution::to_update(response));
     }
 
     void watch_documents(std::uint64_t seed) {
-        auto parents = selector(config_.document_parents, seed);
+        auto parents = make_selector(config_.document_parents, seed);
         const std::string first_parent = parents.current().address;
         discovery::WatchedResource documents{list_distribution::kDocumentsPath,
                                              list_distribution::decode_documents,
@@ -116,13 +119,14 @@
             core::log("update_ignored revision={} reason=not_newer", update.revision);
     }
 
-    /// Publishes the document file, whole or not at all. Throws config::Error.
+    /// Publishes the documents in the document file. Throws config::Error for an invalid file and publishes
+    /// nothing then.
     void load_documents() {
         const config::DocumentFile file = config::load_documents(config_.document_file);
         const distribution::Revision current = server_.log(Channel::Documents).revision();
         if (file.version <= current)
-            throw config::Error(
-                fmt::format("field 'version': {} is not above {}, which is in force", file.version, current));
+            throw config::Error(fmt::format("field 'version': {} is not greater than {}, the current version",
+                                            file.version, current));
         publish(Channel::Documents,
                 {file.version,
                  true,
@@ -139,7 +143,7 @@
         });
     }
 
-    /// An error leaves the documents that are in force.
+    /// Reloads the document file. After an error, the current documents stay published.
     void reload_documents() {
         try {
             if (!config_.document_file.empty())
@@ -152,7 +156,7 @@
     void start_admin() {
         admin::Operations operations;
         operations.stats = [this] {
-            return distributor_stats(server_, nodes_watch_->metrics(), clock_.now());
+            return distributor_stats(server_, endpoint_list_watch_->metrics(), clock_.now());
         };
         operations.accepts_changes = [] { return true; };
         admin_.emplace(io_, deadlines_, net::listen_at(io_, admin_address(config_)), std::move(operations));
@@ -165,30 +169,30 @@
     ListServer server_;
     config::Names node_names_;
     config::Names zone_names_;
-    std::optional<DiscoveryClient> nodes_watch_;
+    std::optional<DiscoveryClient> endpoint_list_watch_;
     std::optional<DiscoveryClient> documents_watch_;
     std::optional<admin::AdminServer> admin_;
     asio::signal_set reload_signals_{io_, SIGHUP};
 };
 
-/// Raises the limit on descriptors as far as the system allows, and lowers the number of callers to what it
-/// then bears: each needs a descriptor.
-void fit_to_descriptors(config::DistributorConfig &config) {
-    constexpr std::size_t kOwnDescriptors = 64; // listeners, parents, admin connections, the log
+/// Raises the descriptor limit as far as the system allows, then reduces the configured number of callers to
+/// what that limit supports, as each caller needs a descriptor.
+void limit_callers_to_descriptors(config::DistributorConfig &config) {
+    constexpr std::size_t kReservedDescriptors = 64; // listeners, parents, admin connections, the log
     rlimit files{};
     if (::getrlimit(RLIMIT_NOFILE, &files) != 0)
         return;
     files.rlim_cur = files.rlim_max;
     ::setrlimit(RLIMIT_NOFILE, &files);
     const std::size_t supported =
-        std::max<std::size_t>(files.rlim_cur, 2 * kOwnDescriptors) - kOwnDescriptors;
+        std::max<std::size_t>(files.rlim_cur, 2 * kReservedDescriptors) - kReservedDescriptors;
     if (config.most_callers <= supported)
         return;
     core::log("most_callers_reduced configured={} supported={}", config.most_callers, supported);
     config.most_callers = supported;
 }
 
-/// Checks all addresses before anything is opened. Throws config::Error.
+/// Checks all addresses before any socket is opened. Throws config::Error.
 void check_addresses(const config::DistributorConfig &config) {
     for (const auto &parent : config.parents)
         address<tcp::endpoint>(parent.address, "parents.address");
@@ -206,13 +210,13 @@
 
 } // namespace
 
-int distribute(const std::string &path, core::BlockedSignal &hangup) {
+int distribute(const std::string &path, core::BlockedSignal &blocked_hangup) {
     config::DistributorConfig config = config::load_distributor(path);
     check_addresses(config);
-    fit_to_descriptors(config);
-    // Never destroyed: suspended coroutines in its io_context refer to its members (as in Broker::run).
+    limit_callers_to_descriptors(config);
+    // Never destroyed, because suspended coroutines in its io_context refer to its members (see Broker::run).
     auto *const process = new DistributorProcess(config, random_seed());
-    process->run(hangup);
+    process->run(blocked_hangup);
     std::fflush(nullptr);
     std::quick_exit(0);
 }
--- a/src/app/distributor_stats.cpp
+++ b/src/app/distributor_stats.cpp
@@ -11,9 +11,9 @@
 using list_distribution::Channel;
 using list_distribution::ListServer;
 
-constexpr Micros kMillisecond = 1000; // us
+constexpr Micros kMillisecond = 1000;
 
-/// Collects metrics as text.
+/// Formats metrics as StatsD text.
 class MetricsText {
 public:
     void gauge(std::string_view name, auto value) { append(name, value, 'g'); }
@@ -27,7 +27,7 @@
     std::string text_;
 };
 
-void append_list(MetricsText &text, const ListServer &server) {
+void append_endpoint_list(MetricsText &text, const ListServer &server) {
     const auto &log = server.log(Channel::Nodes);
     text.gauge("revision", log.revision());
     text.gauge("oldest_revision", log.oldest());
@@ -62,13 +62,13 @@
 }
 
 void append_traffic(MetricsText &text, const ListServer &server, const discovery::DiscoveryMetrics &parent) {
-    const auto &own = server.metrics();
-    text.counter("accepted", own.accepted);
-    text.counter("turned_away", own.rejected);
-    text.counter("malformed_calls", own.malformed);
-    text.counter("received_bytes", own.received_bytes);
-    text.counter("sent_bytes", own.sent_bytes);
-    text.gauge("peak_second_bytes", own.peak_second_bytes);
+    const auto &metrics = server.metrics();
+    text.counter("accepted", metrics.accepted);
+    text.counter("turned_away", metrics.rejected);
+    text.counter("malformed_calls", metrics.malformed);
+    text.counter("received_bytes", metrics.received_bytes);
+    text.counter("sent_bytes", metrics.sent_bytes);
+    text.gauge("peak_second_bytes", metrics.peak_second_bytes);
     text.counter("parent_calls", parent.calls);
     text.counter("parent_sent_bytes", parent.sent_bytes);
     text.counter("parent_received_bytes", parent.received_bytes);
@@ -78,15 +78,15 @@
     text.counter("parent_partial", parent.incomplete);
 }
 
-/// How far the newest version of the configuration documents has spread: which brokers lack it, and for how
-/// long.
+/// How far the newest version of the configuration documents has been distributed, which brokers do not have
+/// it yet, and for how long.
 void append_documents(MetricsText &text, const ListServer &server, Micros now) {
     const auto summary = server.reports().summary(now);
     text.gauge("documents.version", server.log(Channel::Documents).revision());
     text.gauge("documents.brokers", summary.brokers);
     text.gauge("documents.brokers_with_version", summary.current);
-    for (const auto &one : summary.lacking)
-        text.gauge("documents.lacking_ms." + one.broker, one.for_us / kMillisecond);
+    for (const auto &lacking : summary.lacking)
+        text.gauge("documents.lacking_ms." + lacking.broker, lacking.for_us / kMillisecond);
 }
 
 } // namespace
@@ -94,7 +94,7 @@
 std::string distributor_stats(const ListServer &server, const discovery::DiscoveryMetrics &parent,
                               Micros now) {
     MetricsText text;
-    append_list(text, server);
+    append_endpoint_list(text, server);
     append_callers(text, server);
     append_answers(text, server);
     append_traffic(text, server, parent);
--- a/src/app/distributor_stats.hpp
+++ b/src/app/distributor_stats.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The metrics of a distributor as its admin interface reports them.
+/// The metrics of a distributor as reported by its admin interface.
 #pragma once
 
 #include "discovery/discovery_client.hpp"
@@ -9,9 +9,9 @@
 
 namespace marblewood::app {
 
-/// All metrics, one a line, in the form of StatsD.
-/// \param parent traffic of the watch on the endpoint list.
-/// \param now    Unix time in us.
+/// All metrics in StatsD format, one per line.
+/// \param parent metrics of the endpoint list watch at the distributor's parent.
+/// \param now    current Unix time.
 std::string distributor_stats(const list_distribution::ListServer &server,
                               const discovery::DiscoveryMetrics &parent, Micros now);
 
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Micros kHandoverRecheckInterval = 1'000; // us
-constexpr Micros kMillisecond = 1'000;             // us
+constexpr Micros kHandoverRecheckInterval = 1'000;
+constexpr Micros kMillisecond = 1'000;
 
 } // namespace
 
@@ -40,7 +40,8 @@
     });
 }
 
-/// All connections are closed here; those that a successor adopts may still wait to be sent to it.
+/// Stops the event loop once nothing is left to send. By now this process has closed or handed over all
+/// client connections, but some may still be queued for sending to a successor.
 void GracefulShutdown::stop_once_handed_over() {
     if (parts_.process_handover.is_flushed()) {
         parts_.io.stop();
--- a/src/app/graceful_shutdown.hpp
+++ b/src/app/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Ends the process at SIGTERM or SIGINT, after its clients have their answers.
+/// Shuts the process down at SIGTERM or SIGINT, after its clients have received their answers.
 #pragma once
 
 #include "app/client_servers.hpp"
@@ -11,8 +11,8 @@
 
 namespace marblewood::app {
 
-/// Carries out a ShutdownSchedule at the first signal; further ones are only logged. Used on the loop's
-/// thread alone; the references outlive it.
+/// Executes a ShutdownSchedule at the first signal; further signals are only logged. Used only on the event
+/// loop's thread; the references must outlive this object.
 class GracefulShutdown {
 public:
     struct Parts {
--- a/src/app/listeners.hpp
+++ b/src/app/listeners.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Where the broker's listening sockets come from.
+/// Opens the broker's listening sockets, or takes over existing ones.
 #pragma once
 
 #include "net/descriptor.hpp"
@@ -9,13 +9,13 @@
 
 namespace marblewood::app {
 
-/// The client listener that the platform holds for all processes of this broker, from
-/// $BALANCER_PASSED_SOCKET; empty where that is not set. Throws config::Error for a value that is not a
-/// descriptor.
+/// The client listener that the platform keeps open for all processes of this broker and passes as a
+/// descriptor number in $BALANCER_PASSED_SOCKET. Empty if that is not set. Throws config::Error for an
+/// invalid value.
 net::Descriptor platform_listener();
 
-/// Listens with the platform's socket, else with the predecessor's (hot restart), else with a new one at
-/// `address`. Throws boost::system::system_error.
+/// Listens on the platform's socket if there is one, else on the predecessor's (hot restart), else on a new
+/// socket at `address`. Throws boost::system::system_error.
 boost::asio::ip::tcp::acceptor open_listener(boost::asio::io_context &io, net::Descriptor platform,
                                              net::Descriptor predecessor,
                                              const boost::asio::ip::tcp::endpoint &address);
--- a/src/app/predecessor.cpp
+++ b/src/app/predecessor.cpp
@@ -28,8 +28,8 @@
 net::Descriptor Predecessor::take_socket(const std::string &name) {
     if (!is_present())
         return net::Descriptor();
-    const auto found = takeover_->parent.sockets.find(name);
-    return found == takeover_->parent.sockets.end() ? net::Descriptor() : std::move(found->second);
+    const auto socket = takeover_->parent.sockets.find(name);
+    return socket == takeover_->parent.sockets.end() ? net::Descriptor() : std::move(socket->second);
 }
 
 void Predecessor::restore(net::EndpointRegistry &endpoints, QuiesceState &quiesce, const core::Clock &clock) {
--- a/src/app/predecessor.hpp
+++ b/src/app/predecessor.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The receiving side of a hot restart: what a running predecessor leaves to this process.
+/// The receiving side of a hot restart: the state and sockets that a running predecessor hands to this
+/// process.
 #pragma once
 
 #include "app/client_servers.hpp"
@@ -12,29 +13,30 @@
 
 namespace marblewood::app {
 
-/// Where the processes of one broker meet, in $TMPDIR; empty: there is no hot restart.
+/// Path of the Unix socket, in $TMPDIR, at which a successor connects to its predecessor. Empty if $TMPDIR is
+/// not set: hot restart is then disabled.
 std::string handover_path();
 
-/// Used before the loop runs.
+/// The connection to a predecessor process, if there is one. Used only before the event loop runs.
 class Predecessor {
 public:
-    /// Asks the process that listens at `path`, for a bounded time. Nothing is inherited where none answers,
-    /// or where `path` is empty.
+    /// Requests the state of the process that listens at `path`; blocks for a bounded time. Nothing is taken
+    /// over if no process answers or `path` is empty.
     explicit Predecessor(const std::string &path);
 
-    /// Whether its state and sockets are taken over.
+    /// Whether there is a predecessor whose state and sockets are taken over.
     bool is_present() const { return takeover_ && takeover_->channel.get() >= 0; }
-    /// Sets the clock to the predecessor's. The system clock may have been set since that one read it, and
-    /// the times in its state must mean the same here.
+    /// Sets the clock to the predecessor's time. The system clock may have been adjusted since the
+    /// predecessor read it, and the times in the predecessor's state must keep their meaning.
     void continue_clock(core::Clock &clock) const;
-    /// One of its sockets; empty: it left none of that name.
+    /// Takes one of the predecessor's sockets; empty if it handed over none of that name.
     net::Descriptor take_socket(const std::string &name);
-    /// Takes over its endpoint list, cordons, quotas and quiesce state. If any of it is malformed, nothing
-    /// more is inherited, and the predecessor goes on serving.
+    /// Restores the predecessor's endpoint list, cordons, quotas and quiesce state. If any of it is
+    /// malformed, the channel is closed: nothing else is taken over, and the predecessor continues to serve.
     void restore(net::EndpointRegistry &endpoints, QuiesceState &quiesce, const core::Clock &clock);
-    /// How many client connections it has.
+    /// The number of the predecessor's client connections.
     int client_count() const;
-    /// The channel over which its client connections come.
+    /// Takes the channel over which the predecessor sends its client connections.
     net::Descriptor take_channel() { return std::move(takeover_->channel); }
 
 private:
--- a/src/app/process_handover.cpp
+++ b/src/app/process_handover.cpp
@@ -30,31 +30,32 @@
     core::log("handover_from_predecessor_started");
 }
 
-void ProcessHandover::tell_predecessor_cordon(const std::string &node, bool cordoned) {
+void ProcessHandover::forward_cordon_to_predecessor(const std::string &node, bool cordoned) {
     if (hot_restart_)
         hot_restart_->forward_cordon(node, cordoned);
 }
 
-void ProcessHandover::tell_predecessor_quiesce(bool active) {
+void ProcessHandover::forward_quiesce_to_predecessor(bool active) {
     if (hot_restart_)
         hot_restart_->forward_quiesce(active);
 }
 
-/// Accepts no more, and sends only what it has already accepted.
+/// Stops accepting connections and receiving from peers, and returns the state and sockets for the successor.
+/// From then on only requests already accepted are sent to nodes.
 hot_restart::ParentState ProcessHandover::release_state() {
     parts_.clients.pause_accepting();
     if (parts_.peers)
         parts_.peers->stop_receiving();
     hot_restart::ParentState released;
     released.state = state_for_successor();
-    const auto leave_socket = [&](const char *name, int socket) {
+    const auto add_socket = [&](const char *name, int socket) {
         released.sockets[name] = net::Descriptor(::dup(socket));
     };
-    leave_socket("clients", parts_.clients.resp().listener());
+    add_socket("clients", parts_.clients.resp().listener());
     if (net::Clients *const nvme = parts_.clients.nvme())
-        leave_socket("nvme", nvme->listener());
+        add_socket("nvme", nvme->listener());
     if (parts_.peers)
-        leave_socket("peers", parts_.peers->descriptor());
+        add_socket("peers", parts_.peers->descriptor());
     parts_.endpoints.drain_for_successor(true);
     share_limits(true, 0);
     return released;
@@ -77,7 +78,7 @@
         [this](net::Passed client) { hot_restart_->send_client(std::move(client)); });
 }
 
-/// The successor has gone.
+/// Serves normally again after the successor has exited.
 void ProcessHandover::resume() {
     parts_.clients.resp().hand_over(nullptr);
     parts_.endpoints.drain_for_successor(false);
@@ -87,7 +88,7 @@
         parts_.peers->start_receiving();
 }
 
-/// While two processes serve, each has its part of the limits on sockets and memory.
+/// Divides the limits on sockets and memory between two processes while both serve.
 void ProcessHandover::share_limits(bool shared, int clients_elsewhere) {
     parts_.sockets.share(shared, clients_elsewhere);
     parts_.memory.set_shared(shared);
--- a/src/app/process_handover.hpp
+++ b/src/app/process_handover.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Replacing the process while it serves: the sending side, and taking the predecessor's clients over. See
-/// docs/design.md.
+/// Replacement of the process while it serves (hot restart): the sending side, and the takeover of the
+/// predecessor's clients. See docs/design.md.
 #pragma once
 
 #include "app/client_servers.hpp"
@@ -17,12 +17,12 @@
 
 namespace marblewood::app {
 
-/// Waits for a successor and hands over its state, its listening sockets and its RESP2 connections; NVMe/TCP
-/// connections stay here until they close. Takes all back if the successor goes. Used on the loop's thread
-/// alone; the references outlive it.
+/// Waits for a successor and hands over this process's state, listening sockets and RESP2 connections;
+/// NVMe/TCP connections stay in this process until they close. If the successor exits, this process serves
+/// again. Used only on the event loop's thread; the references must outlive this object.
 class ProcessHandover {
 public:
-    /// What is handed over.
+    /// The parts of the broker that a handover involves.
     struct Parts {
         boost::asio::io_context &io;
         core::Deadlines &deadlines;
@@ -33,24 +33,25 @@
         std::optional<gossip::GossipTransport> &peers;
         const QuiesceState &quiesce;
     };
-    /// What operators told the successor; carried out here, too, while this process still has requests.
+    /// Executes the operator commands that the successor has received and forwards; they also apply to this
+    /// process while it still has requests.
     struct OperatorActions {
         std::function<void(const std::string &node, bool cordoned)> cordon;
         std::function<void(bool active)> quiesce;
     };
 
-    /// With an empty `path` there is no hot restart, and nothing happens.
+    /// An empty `path` disables hot restart: all functions then have no effect.
     ProcessHandover(const std::string &path, Parts parts, OperatorActions actions);
 
-    /// Takes over the clients of the predecessor, until it ends.
+    /// Starts to take over the predecessor's clients, until the predecessor exits.
     void take_over(Predecessor &predecessor);
-    /// Tells a predecessor that still has requests what an operator did here.
-    void tell_predecessor_cordon(const std::string &node, bool cordoned);
-    void tell_predecessor_quiesce(bool active);
+    /// Forwards an operator command to the predecessor, if one is still running.
+    void forward_cordon_to_predecessor(const std::string &node, bool cordoned);
+    void forward_quiesce_to_predecessor(bool active);
 
     /// Whether a successor has taken over.
     bool has_successor() const { return hot_restart_ && hot_restart_->handed_over(); }
-    /// Whether nothing waits to be sent to a successor.
+    /// Whether nothing is queued for sending to a successor.
     bool is_flushed() const { return !hot_restart_ || hot_restart_->all_sent(); }
 
 private:
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -4,9 +4,9 @@
 namespace marblewood::app {
 
 void serve(const std::string &path, config::Config config, const config::Operator &operator_config,
-           core::BlockedSignal &hangup) {
+           core::BlockedSignal &blocked_hangup) {
     Broker broker(path, std::move(config), operator_config);
-    broker.run(hangup);
+    broker.run(blocked_hangup);
 }
 
 } // namespace marblewood::app
--- a/src/core/attempt.hpp
+++ b/src/core/attempt.hpp
@@ -11,38 +11,39 @@
 
 namespace marblewood::core {
 
-/// What a node port reports when an attempt has ended.
+/// The result that a node port reports at the end of an attempt.
 struct AttemptResult {
     Status status = Status::Error;
-    std::string value;       ///< Status::Ok: the node's value, unless it was streamed
-    int used = 0;            ///< as AttemptEnded::used
-    double remote_units = 0; ///< as AttemptEnded::remote_units
+    std::string value;       ///< with Status::Ok: the value that the node returned, unless it was streamed
+    int used = 0;            ///< see AttemptEnded::used
+    double remote_units = 0; ///< see AttemptEnded::remote_units
     std::optional<LoadReport> report;
-    Micros retry_after = 0; ///< Status::Rejected: the node's Retry-After, us; 0: none
+    Micros retry_after = 0; ///< with Status::Rejected: the delay that the node asked for; 0: none
 };
 
-/// One attempt at one node. The dispatcher creates it and may stop it at any time; the port then ends it
-/// soon. Both run on the loop's thread.
+/// One attempt at one node. The dispatcher creates it and may ask the port at any time to stop it; the port
+/// then ends the attempt soon. Both run on the event loop's thread.
 struct Attempt {
     std::shared_ptr<const Request> request;
     NodeId node{};
-    Micros started_at = 0; ///< Unix time in us
-    Micros expires_at = 0; ///< given up at this time, unless its value is being streamed
+    Micros started_at = 0; ///< Unix time
+    Micros expires_at = 0; ///< Unix time at which the attempt times out, unless its value is being streamed
 
-    /// Set by the dispatcher. The port asks just before it writes the first byte; false: it must not write.
+    /// Set by the dispatcher. The port calls it just before it writes the first byte of the request, and must
+    /// not write anything if it returns false.
     std::function<bool()> may_write;
-    /// Set by the dispatcher. The port calls it when the first bytes of a long value have come; from then on
-    /// the port puts the value into `stream`.
+    /// Set by the dispatcher. The port calls it when it has received the first bytes of a long value; from
+    /// then on the port writes the value into `stream`.
     std::function<void(std::size_t length)> begin_stream;
-    /// Set by the dispatcher. The port calls it once the last byte of the request is written.
+    /// Set by the dispatcher. The port calls it after it has written the last byte of the request.
     std::function<void()> on_written;
-    /// Set by the port while it waits: interrupts that wait.
+    /// Set by the port while it waits for the node; interrupts that wait.
     std::function<void()> on_stop;
 
-    std::shared_ptr<Stream> stream;    ///< empty until begin_stream() was called
-    std::optional<Status> stop_reason; ///< empty until stop() was called
+    std::shared_ptr<Stream> stream;    ///< null until begin_stream() is called
+    std::optional<Status> stop_reason; ///< empty until stop() is called
 
-    /// Asks the port to end the attempt. The first reason counts.
+    /// Asks the port to end the attempt. Calls after the first one have no effect.
     void stop(Status reason) {
         if (stop_reason)
             return;
@@ -51,8 +52,8 @@
             on_stop();
     }
 
-    /// The status of an attempt that was stopped or whose connection broke. The node may have run the request
-    /// only if it was `fully_written`.
+    /// The status of an attempt that was stopped or whose connection broke. The node can have executed the
+    /// request only if it was `fully_written`.
     Status status_when_interrupted(bool fully_written) const {
         if (!fully_written)
             return stop_reason ? Status::Superseded : Status::ConnectFailed;
--- a/src/core/backoff.hpp
+++ b/src/core/backoff.hpp
@@ -9,21 +9,22 @@
 
 namespace marblewood::core {
 
-/// How long to wait before each further call of something that fails. Seeded, so that many callers don't act
-/// in step and a run can be repeated. All spans are in us.
+/// Computes the delay before each retry of a failed operation. The seed keeps many callers from retrying in
+/// step and makes a run reproducible.
 class Backoff {
 public:
     Backoff(Micros initial, Micros maximum, std::uint64_t seed)
         : initial_(initial), maximum_(maximum), random_(seed) {}
 
-    /// Doubles the wait, from `initial` to `maximum`, and returns it less a random part of up to its half.
+    /// Doubles the delay, between `initial` and `maximum`, and returns it reduced by a random amount of at
+    /// most half of it.
     Micros next() {
-        wait_ = std::clamp(2 * wait_, initial_, maximum_);
-        return wait_ - jitter(wait_ / 2);
+        delay_ = std::clamp(2 * delay_, initial_, maximum_);
+        return delay_ - jitter(delay_ / 2);
     }
-    /// To be called after a success.
-    void reset() { wait_ = 0; }
-    /// A random span from 0 to `maximum`, both included.
+    /// Starts again from the initial delay. To be called after a success.
+    void reset() { delay_ = 0; }
+    /// A random duration between 0 and `maximum`, inclusive.
     Micros jitter(Micros maximum) {
         return maximum > 0 ? static_cast<Micros>(random_() % static_cast<std::uint64_t>(maximum + 1)) : 0;
     }
@@ -31,7 +32,7 @@
 private:
     Micros initial_;
     Micros maximum_;
-    Micros wait_ = 0; // the last one, before its jitter
+    Micros delay_ = 0; // the last delay, without jitter
     std::mt19937_64 random_;
 };
 
--- a/src/core/blocked_signal.hpp
+++ b/src/core/blocked_signal.hpp
@@ -1,13 +1,14 @@
 /// \file
-/// Defers a signal until the program has a handler for it.
+/// Defers the delivery of a signal until the program has installed a handler for it.
 #pragma once
 
 #include <csignal>
 
 namespace marblewood::core {
 
-/// Blocks a signal whose default action would end the process, from construction until unblock(); one that
-/// arrives meanwhile is delivered then. To be created before any other thread is started.
+/// Blocks a signal whose default action would terminate the process, from construction until unblock(). A
+/// signal that arrives in between is delivered by unblock(). To be created before any other thread is
+/// started, since threads inherit the signal mask.
 class BlockedSignal {
 public:
     explicit BlockedSignal(int number) {
@@ -15,7 +16,7 @@
         ::sigaddset(&set_, number);
         ::sigprocmask(SIG_BLOCK, &set_, nullptr);
     }
-    /// To be called once the program has a handler.
+    /// To be called after the handler is installed.
     void unblock() { ::sigprocmask(SIG_UNBLOCK, &set_, nullptr); }
 
 private:
--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The clock of the whole program.
+/// The clock that all parts of the program use.
 #pragma once
 
 #include "marblewood/types.hpp"
@@ -8,14 +8,14 @@
 
 namespace marblewood::core {
 
-/// Unix time in us, read once from the system clock and carried on by the steady clock, so that it never goes
-/// back.
+/// Unix time in microseconds. It is read from the system clock once and advanced by the steady clock, so that
+/// it never goes backwards.
 class Clock {
 public:
     Micros now() const { return start_ + to_micros(Steady::now() - steady_start_); }
 
-    /// Sets the clock to `time`, which a predecessor of this process read on its own clock (hot restart). To
-    /// be called before any time is used.
+    /// Sets the clock to `time`, which the predecessor of this process read from its own clock (hot restart).
+    /// To be called before any other use of the clock.
     void continue_from(Micros time) { start_ += time - now(); }
 
 private:
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// All timers of the program, kept in one sorted map and driven by a single asio timer.
+/// The timers of the program, kept in one sorted map and driven by a single asio timer.
 #pragma once
 
 #include "core/clock.hpp"
@@ -14,12 +14,12 @@
 
 namespace marblewood::core {
 
-/// Calls actions when they are due. Used on the loop's thread alone, which also calls the actions; an action
-/// may add and remove entries. Entries must not outlive their Deadlines.
+/// Calls actions at the times they are scheduled for. Used only on the event loop's thread, which also calls
+/// the actions. An action may add and remove entries. Entries must not outlive their Deadlines object.
 class Deadlines {
-    /// Entries with the same time are due in the order in which they were added.
+    /// Entries with the same due time run in the order in which they were added.
     struct Key {
-        Micros due = 0; // Unix time in us
+        Micros due = 0; // Unix time
         std::uint64_t sequence = 0;
         bool operator<(const Key &other) const {
             return due != other.due ? due < other.due : sequence < other.sequence;
@@ -58,14 +58,15 @@
 
     Deadlines(boost::asio::io_context &io, const Clock &time) : clock(time), timer_(io) {}
 
-    /// Calls `action` at `due` (Unix time in us), or soon if that has passed; never within this call.
+    /// Schedules `action` for the Unix time `due`. If that time has passed, the action runs soon, but never
+    /// within this call.
     [[nodiscard]] Entry at(Micros due, Action action) {
         const Key key{due, ++last_sequence_};
         entries_.emplace(key, std::move(action));
         arm();
         return {*this, key};
     }
-    /// Calls `action` after `delay` us.
+    /// Schedules `action` to run after `delay`.
     [[nodiscard]] Entry in(Micros delay, Action action) { return at(clock.now() + delay, std::move(action)); }
 
     const Clock &clock;
@@ -86,7 +87,7 @@
     void run_due_actions() {
         armed_for_ = kNever;
         running_actions_ = true;
-        const Key last_due{clock.now(), last_sequence_}; // what an action adds waits for the next run
+        const Key last_due{clock.now(), last_sequence_}; // entries added by an action wait for the next run
         while (!entries_.empty() && !(last_due < entries_.begin()->first)) {
             const Action action = std::move(entries_.begin()->second);
             entries_.erase(entries_.begin());
--- a/src/core/endpoint_list.hpp
+++ b/src/core/endpoint_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The nodes as the endpoint list has them, with the operators' cordons applied.
+/// The nodes of the endpoint list, with the operators' cordons applied.
 #pragma once
 
 #include "marblewood/events.hpp"
@@ -10,12 +10,12 @@
 
 namespace marblewood::core {
 
-/// Keeps the endpoint list and the nodes that operators have cordoned. A cordoned node that is listed as
-/// ready appears as draining in every update that this class returns. Cordons hold for nodes that are not
-/// listed, too, until they are lifted.
+/// Stores the endpoint list and the set of nodes that operators have cordoned. A cordoned node that is listed
+/// as ready appears as draining in every update that this class returns. A cordon stays until it is lifted,
+/// even while its node is not listed.
 class EndpointList {
 public:
-    /// Takes in an update of the endpoint list; returns it with the cordons applied.
+    /// Applies an update of the endpoint list and returns it with the cordons applied.
     ListUpdate apply(ListUpdate update) {
         if (update.kind != ListUpdate::Kind::Changes)
             listed_.clear();
@@ -30,19 +30,23 @@
     }
 
     bool is_listed(NodeId node) const { return listed_.contains(node); }
-    bool is_cordoned(NodeId node) const { return cordoned_.contains(node) || fleet_cordoned_.contains(node); }
+    bool is_cordoned(NodeId node) const {
+        return host_cordoned_.contains(node) || fleet_cordoned_.contains(node);
+    }
 
-    /// Cordons a node on this host; returns the changes that follow.
+    /// Cordons a node on this host. Returns the node's changed entry, if it is listed.
     ListUpdate cordon(NodeId node) {
-        cordoned_.insert(node);
-        return changes_of(node, false);
+        host_cordoned_.insert(node);
+        return update_for(node, false);
     }
-    /// Lifts this host's cordon; a cordon over all hosts stays. Returns the changes that follow.
+    /// Lifts this host's cordon on a node; a cordon for all hosts stays. Returns the node's changed entry, if
+    /// it is listed.
     ListUpdate uncordon(NodeId node) {
-        const bool was_cordoned = cordoned_.erase(node) > 0;
-        return changes_of(node, was_cordoned && !is_cordoned(node));
+        const bool was_cordoned = host_cordoned_.erase(node) > 0;
+        return update_for(node, was_cordoned && !is_cordoned(node));
     }
-    /// Replaces the nodes that are cordoned on all hosts; returns the changes that follow.
+    /// Replaces the set of nodes that are cordoned on all hosts. Returns the changed entries of the listed
+    /// nodes that entered or left the set.
     ListUpdate set_fleet_cordons(std::set<NodeId> nodes) {
         const std::set<NodeId> before = std::exchange(fleet_cordoned_, std::move(nodes));
         std::set<NodeId> candidates = before;
@@ -51,16 +55,17 @@
         for (const NodeId node : candidates) {
             if (before.contains(node) == fleet_cordoned_.contains(node))
                 continue;
-            const ListUpdate one = changes_of(node, !is_cordoned(node));
-            changes.entries.insert(changes.entries.end(), one.entries.begin(), one.entries.end());
+            const ListUpdate node_changes = update_for(node, !is_cordoned(node));
+            changes.entries.insert(changes.entries.end(), node_changes.entries.begin(),
+                                   node_changes.entries.end());
         }
         return changes;
     }
 
-    /// All listed nodes, without the cordons.
+    /// All listed nodes, without the cordons applied.
     const std::map<NodeId, NodeEntry> &entries() const { return listed_; }
     /// The nodes that are cordoned on this host.
-    const std::set<NodeId> &cordons() const { return cordoned_; }
+    const std::set<NodeId> &cordons() const { return host_cordoned_; }
     /// The nodes that are cordoned on all hosts.
     const std::set<NodeId> &fleet_cordons() const { return fleet_cordoned_; }
 
@@ -70,9 +75,10 @@
             entry.state = NodeState::Draining;
         return entry;
     }
-    /// The entry of one node, if it is listed. A node whose cordon was lifted may have restarted meanwhile,
-    /// and the endpoint list may not show that yet: it is marked as restored.
-    ListUpdate changes_of(NodeId node, bool restored) const {
+    /// An update with the entry of one node, or an empty one if the node is not listed. A node may have
+    /// restarted while it was cordoned, and the endpoint list may not show that yet. `restored` therefore
+    /// marks the entry of a node whose cordon has been lifted.
+    ListUpdate update_for(NodeId node, bool restored) const {
         ListUpdate update{ListUpdate::Kind::Changes, {}};
         if (const auto found = listed_.find(node); found != listed_.end()) {
             update.entries.push_back(with_cordon(found->second));
@@ -82,8 +88,8 @@
     }
 
     std::map<NodeId, NodeEntry> listed_;
-    std::set<NodeId> cordoned_;       // on this host
-    std::set<NodeId> fleet_cordoned_; // on all hosts
+    std::set<NodeId> host_cordoned_;  // cordoned on this host
+    std::set<NodeId> fleet_cordoned_; // cordoned on all hosts
 };
 
 } // namespace marblewood::core
--- a/src/core/in_flight_request.hpp
+++ b/src/core/in_flight_request.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The state of one request from its submission until none of its attempts is in flight, and the messages
-/// that change it.
+/// The state of a request, from its submission until it is answered and none of its attempts is in flight any
+/// more, and the messages that change this state.
 #pragma once
 
 #include "core/mailbox.hpp"
@@ -16,24 +16,25 @@
 
 namespace marblewood::core {
 
-/// A node port has begun to receive a long value for an attempt.
+/// Sent when a node port has begun to receive a long value for an attempt.
 struct StreamBegan {
     int attempt = 0;
 };
 
-/// A node port has ended an attempt.
+/// Sent when a node port has ended an attempt.
 struct AttemptFinished {
     int attempt = 0;
     AttemptResult result;
 };
 
-/// What may happen to a request: the Scheduler's actions (Send to Cancel), the front end's calls
-/// (ClientDisconnected, AnswerNow) and the node ports' reports.
+/// The messages that a request's coroutine handles: actions of the Scheduler (Send, Refuse, Fail, Cancel),
+/// calls from the front end (ClientDisconnected, AnswerNow) and reports from node ports (StreamBegan,
+/// AttemptFinished).
 using RequestMessage =
     std::variant<Send, Refuse, Fail, Cancel, ClientDisconnected, AnswerNow, StreamBegan, AttemptFinished>;
 
-/// Owned by the RequestDispatcher and by the coroutines that run the request and its attempts. Used on the
-/// loop's thread alone.
+/// Owned jointly by the RequestDispatcher and the coroutines that run the request and its attempts. Used only
+/// on the event loop's thread.
 struct InFlightRequest {
     InFlightRequest(boost::asio::any_io_executor executor, MemoryBudget &memory, RequestId number,
                     std::shared_ptr<const Request> submitted, RequestHandler::CompletionCallback complete,
@@ -44,16 +45,16 @@
 
     const RequestId id;
     const std::shared_ptr<const Request> request;
-    RequestHandler::CompletionCallback on_complete; ///< empty once called, or once the client disconnected
-    RequestHandler::ReleaseCallback on_released;    ///< may be empty
-    Micros deadline = 0;                            ///< the client's, Unix time in us
+    RequestHandler::CompletionCallback on_complete; ///< null once called, or once the client has disconnected
+    RequestHandler::ReleaseCallback on_released;    ///< may be null
+    Micros deadline = 0;                            ///< Unix time by which the client wants its answer
 
-    std::vector<std::shared_ptr<Attempt>> attempts; ///< by their numbers
-    std::vector<Status> ended; ///< statuses of the ended ones, in the order of their ends
+    std::vector<std::shared_ptr<Attempt>> attempts; ///< indexed by attempt number
+    std::vector<Status> ended_statuses; ///< statuses of the ended attempts, in the order in which they ended
     std::size_t attempts_in_flight = 0;
-    std::shared_ptr<Attempt> streaming; ///< whose value is being streamed to the client; empty: none
+    std::shared_ptr<Attempt> streaming_attempt; ///< its value is being streamed to the client; may be null
 
-    Mailbox<RequestMessage> messages; ///< taken by the request's coroutine, one at a time
+    Mailbox<RequestMessage> messages; ///< consumed one at a time by the request's coroutine
     MemoryBudget::Reservation body_reservation;
 
     bool awaits_answer() const { return on_complete != nullptr; }
--- a/src/core/log_rate_limiter.hpp
+++ b/src/core/log_rate_limiter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds how many log lines a second one kind of event may write.
+/// Limits how many log lines per second one kind of event may write.
 #pragma once
 
 #include "core/clock.hpp"
@@ -9,33 +9,34 @@
 
 namespace marblewood::core {
 
-/// Allows a fixed number of lines in each second and counts the others.
+/// Allows a fixed number of lines in each window of one second and counts the suppressed ones.
 class LogRateLimiter {
 public:
     explicit LogRateLimiter(int lines_per_second) : lines_per_second_(lines_per_second) {}
 
-    /// Whether one more line may be written at `now` (Unix time in us); if not, it is counted as suppressed.
+    /// Whether one more line may be written at the Unix time `now`. If not, the line is counted as
+    /// suppressed.
     bool allow(Micros now) {
-        if (now - second_began_ >= kSecond) {
-            second_began_ = now;
-            lines_ = 0;
+        if (now - window_start_ >= kWindowLength) {
+            window_start_ = now;
+            lines_in_window_ = 0;
         }
-        if (lines_ >= lines_per_second_) {
+        if (lines_in_window_ >= lines_per_second_) {
             ++suppressed_;
             return false;
         }
-        ++lines_;
+        ++lines_in_window_;
         return true;
     }
-    /// How many lines were suppressed since the last call.
+    /// Returns the number of lines suppressed since the last call and resets it.
     std::uint64_t take_suppressed() { return std::exchange(suppressed_, 0); }
 
 private:
-    static constexpr Micros kSecond = 1'000'000; // us
+    static constexpr Micros kWindowLength = 1'000'000;
 
     const int lines_per_second_;
-    Micros second_began_ = 0; // Unix time in us
-    int lines_ = 0;
+    Micros window_start_ = 0; // Unix time
+    int lines_in_window_ = 0;
     std::uint64_t suppressed_ = 0;
 };
 
--- a/src/core/mailbox.hpp
+++ b/src/core/mailbox.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A queue that a coroutine waits on.
+/// A queue whose consumer is a coroutine.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,12 +14,13 @@
 
 namespace marblewood::core {
 
-/// An unbounded first-in first-out queue with one consumer. All calls come from the executor's one thread.
+/// An unbounded FIFO queue with one consumer. All calls must come from the executor's single thread.
 template <typename T> class Mailbox {
 public:
     explicit Mailbox(boost::asio::any_io_executor executor) : executor_(std::move(executor)) {}
 
-    /// Never blocks. A waiting consumer is resumed by way of the executor, not within this call.
+    /// Appends a value; never blocks. A waiting consumer is resumed through the executor, not within this
+    /// call.
     void put(T value) {
         values_.push_back(std::move(value));
         if (auto resume_consumer = std::exchange(resume_consumer_, nullptr))
@@ -27,7 +28,8 @@
     }
     bool empty() const { return values_.empty(); }
 
-    /// Removes the oldest value; waits while there is none. At most one call may wait.
+    /// Removes and returns the oldest value; waits while the queue is empty. At most one call may wait at a
+    /// time.
     boost::asio::awaitable<T> take() {
         while (values_.empty())
             co_await wait_for_value();
@@ -40,7 +42,7 @@
     auto wait_for_value() {
         return boost::asio::async_initiate<const boost::asio::use_awaitable_t<>, void()>(
             [this](auto handler) {
-                // std::function needs a copyable target, which the handler is not.
+                // std::function requires a copyable target, and the handler can only be moved.
                 auto shared = std::make_shared<decltype(handler)>(std::move(handler));
                 resume_consumer_ = [this, shared] {
                     boost::asio::post(executor_, [shared] { std::move (*shared)(); });
@@ -51,7 +53,7 @@
 
     boost::asio::any_io_executor executor_;
     std::deque<T> values_;
-    std::function<void()> resume_consumer_; // set while take() waits
+    std::function<void()> resume_consumer_; // not null while take() waits
 };
 
 } // namespace marblewood::core
--- a/src/core/memory_budget.hpp
+++ b/src/core/memory_budget.hpp
@@ -1,13 +1,13 @@
 /// \file
-/// Bounds the memory that is used for clients' requests and answers, over all connections.
+/// Limits the memory used for clients' requests and answers, over all connections.
 #pragma once
 
 #include <cstddef>
 
 namespace marblewood::core {
 
-/// Counts reserved bytes against a limit. Reservations always succeed: whoever would take on more work checks
-/// is_exhausted() before. Used on the loop's thread alone.
+/// Counts reserved bytes against a limit. A reservation always succeeds, even beyond the limit: callers check
+/// is_exhausted() before they accept more work. Used only on the event loop's thread.
 class MemoryBudget {
 public:
     explicit MemoryBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
@@ -15,10 +15,10 @@
     MemoryBudget &operator=(const MemoryBudget &) = delete;
 
     bool is_exhausted() const { return reserved_bytes_ >= (shared_ ? limit_bytes_ / 2 : limit_bytes_); }
-    /// While shared, half of the limit belongs to another process (hot restart).
+    /// While the budget is shared with another process (hot restart), this process may use half of the limit.
     void set_shared(bool shared) { shared_ = shared; }
 
-    /// The bytes that one holder has reserved; released at its destruction. The budget outlives it.
+    /// A number of reserved bytes, released by the destructor. The budget must outlive the reservation.
     class Reservation {
     public:
         explicit Reservation(MemoryBudget &budget, std::size_t bytes = 0) : budget_(budget) { resize(bytes); }
--- a/src/core/node_port.hpp
+++ b/src/core/node_port.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The interface by which the dispatcher reaches nodes; one implementation for each protocol of nodes.
+/// The interface through which the dispatcher reaches nodes. Each node protocol has its own implementation.
 #pragma once
 
 #include "core/attempt.hpp"
@@ -10,22 +10,22 @@
 
 namespace marblewood::core {
 
-/// How a health check of a node ended.
+/// The result of a health check of a node.
 struct ProbeResult {
     Status status = Status::Error;
     std::optional<LoadReport> report;
 };
 
-/// Runs attempts and health checks at nodes. Called on the loop's thread. Errors are reported as a Status;
-/// an exception is a fault of the program.
+/// Runs attempts and health checks at nodes. Called on the event loop's thread. Errors are reported as a
+/// Status; an exception indicates a bug and terminates the program.
 class NodePort {
 public:
     virtual ~NodePort() = default;
-    /// Runs `attempt` to its end.
+    /// Runs `attempt` and returns once it has ended.
     virtual boost::asio::awaitable<AttemptResult> run(std::shared_ptr<Attempt> attempt) = 0;
     /// Sends one health check.
     virtual boost::asio::awaitable<ProbeResult> probe(NodeId node) = 0;
-    /// Closes the node's connections that are idle.
+    /// Closes the idle connections to a node.
     virtual void close_idle(NodeId node) = 0;
 };
 
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A client's request and its final outcome, independent of the protocol that it came by. Front ends create
-/// Requests and encode Outcomes.
+/// A client's request and its final outcome, independent of the client protocol. Front ends create Requests
+/// and encode Outcomes.
 #pragma once
 
 #include "core/stream.hpp"
@@ -14,19 +14,19 @@
 
 namespace marblewood::core {
 
-/// One client request as decoded by a front end. Immutable once submitted.
+/// A client request as decoded by a front end. Immutable once submitted.
 struct Request {
     std::string id;                  ///< chosen by the client
-    std::uint64_t connection_id = 0; ///< the client connection that it came on, for the log
-    bool refuse_immediately = false; ///< that connection is about to be closed: no attempt may be made
-    std::string data_key;            ///< as the client spells it
-    RequestArrived arrival;          ///< for the Scheduler; the dispatcher fills in `id` and `time_left`
-    std::string idempotency_key;     ///< in a class of Idempotency::WithKey
+    std::uint64_t connection_id = 0; ///< the client connection that received it, for the log
+    bool refuse_immediately = false; ///< the connection is about to close: no attempt may be made
+    std::string data_key;            ///< as the client wrote it
+    RequestArrived arrival;      ///< the event for the Scheduler; the dispatcher sets `id` and `time_left`
+    std::string idempotency_key; ///< only in classes with Idempotency::WithKey
     std::string body;
-    /// Name and value of further fields, forwarded without being read.
+    /// Names and values of other fields, forwarded to the node uninterpreted.
     std::vector<std::pair<std::string, std::string>> forwarded_fields;
-    Micros received_at = 0; ///< when its last byte arrived, Unix time in us
-    Micros timeout = 0;     ///< how long the client waits from `received_at`, us
+    Micros received_at = 0; ///< Unix time at which its last byte arrived
+    Micros timeout = 0;     ///< how long the client waits for the answer, from `received_at`
 };
 
 /// The final outcome of a request, to be encoded by the front end.
@@ -34,10 +34,10 @@
     enum class Kind { Served, Refused, Failed };
 
     Kind kind = Kind::Failed;
-    std::string value = {};                   ///< Served: the node's value, unless it is streamed
-    Micros retry_after = 0;                   ///< Refused: when to come back, us; 0: no advice
-    bool retry_safe = true;                   ///< Failed: whether sending the request again does no harm
-    std::shared_ptr<Stream> stream = nullptr; ///< Served: where a long value is read from
+    std::string value = {}; ///< Served: the value from the node, unless it is streamed
+    Micros retry_after = 0; ///< Refused: how long the client should wait before a retry; 0: not stated
+    bool retry_safe = true; ///< Failed: whether the client can safely send the request again
+    std::shared_ptr<Stream> stream = nullptr; ///< Served: the stream of a long value; null: none
 };
 
 } // namespace marblewood::core
--- a/src/core/request_dispatcher.cpp
+++ b/src/core/request_dispatcher.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Completion handler of coroutines: lets an exception end the program instead of swallowing it.
+/// Completion handler for coroutines: rethrows an exception, so that it terminates the program instead of
+/// being ignored.
 void rethrow(const std::exception_ptr &error) {
     if (error)
         std::rethrow_exception(error);
@@ -26,10 +27,10 @@
 
 RequestId RequestDispatcher::submit(std::shared_ptr<const Request> request, CompletionCallback on_complete,
                                     ReleaseCallback on_released) {
-    const RequestId id{next_request_++};
+    const RequestId id{next_request_id_++};
     auto in_flight = std::make_shared<InFlightRequest>(executor_, memory_, id, std::move(request),
                                                        std::move(on_complete), std::move(on_released));
-    ++unanswered_;
+    ++unanswered_count_;
     if (memory_.is_exhausted() || in_flight->request->refuse_immediately) {
         refuse_immediately(*in_flight);
         return id;
@@ -39,19 +40,19 @@
     return id;
 }
 
-/// The whole way of one request: it is announced to the Scheduler, which decides what is done; each message
-/// is handled in turn until the request is answered and nothing of it is in flight.
+/// Runs one request to its end. Passes it to the Scheduler, which decides what to do, then handles its
+/// messages in order until it is answered and none of its attempts is in flight.
 asio::awaitable<void> RequestDispatcher::run_request(RequestPointer request) {
-    announce(*request);
-    while (is_open(*request)) {
+    notify_arrival(*request);
+    while (is_active(*request)) {
         RequestMessage next = co_await request->messages.take();
         std::visit([&](auto &message) { on_message(request, message); }, next);
     }
     release(*request);
 }
 
-/// Nothing of the request has run, so that its client may send it again; over another connection at once if
-/// only this one is about to end.
+/// Refuses a request before any attempt, so that its client may safely send it again. If the reason is that
+/// the client's connection is about to close, the client may retry at once over another connection.
 void RequestDispatcher::refuse_immediately(InFlightRequest &request) {
     const bool connection_closing = request.request->refuse_immediately;
     if (connection_closing) {
@@ -64,9 +65,9 @@
         request.on_released();
 }
 
-/// The client's time counts from the arrival of the request: what the network and this process have used of
-/// it is gone.
-void RequestDispatcher::announce(InFlightRequest &request) {
+/// Passes the request to the Scheduler. The client's timeout counts from the request's arrival, so the time
+/// that has passed since then is subtracted.
+void RequestDispatcher::notify_arrival(InFlightRequest &request) {
     request.deadline = std::min(request.request->received_at + request.request->timeout, latest_deadline_);
     RequestArrived arrival = request.request->arrival;
     arrival.id = request.id;
@@ -74,7 +75,7 @@
     notify_scheduler(arrival);
 }
 
-bool RequestDispatcher::is_open(const InFlightRequest &request) const {
+bool RequestDispatcher::is_active(const InFlightRequest &request) const {
     return request.awaits_answer() || request.attempts_in_flight > 0 || scheduler_.tracks(request.id);
 }
 
@@ -88,7 +89,7 @@
     const int number = static_cast<int>(request->attempts.size());
     auto attempt = make_attempt(*request, send);
     if (number > 0)
-        count_repeated_attempt(*request);
+        count_retry_or_hedge(*request);
     request->attempts.push_back(std::move(attempt));
     ++request->attempts_in_flight;
     asio::co_spawn(executor_, run_attempt(request, number), rethrow);
@@ -100,27 +101,27 @@
         request->attempts[number]->stop(Status::Cancelled);
 }
 
-/// The first long value that begins is the answer; its client reads the rest from the stream.
+/// Answers the client with the first stream that begins; the front end reads the value from it.
 void RequestDispatcher::on_message(const RequestPointer &request, const StreamBegan &began) {
     const auto &attempt = request->attempts[static_cast<std::size_t>(began.attempt)];
     if (!request->awaits_answer()) {
         attempt->stream->abandon();
         return;
     }
-    request->streaming = attempt;
+    request->streaming_attempt = attempt;
     notify_scheduler(StreamStarted{request->id, began.attempt});
     const auto on_complete = std::exchange(request->on_complete, nullptr);
     on_complete({.kind = Outcome::Kind::Served, .stream = attempt->stream});
 }
 
-/// The first value that a node serves is the answer.
+/// Answers the client with the first value that a node has served.
 void RequestDispatcher::on_message(const RequestPointer &request, AttemptFinished &finished) {
     AttemptResult &result = finished.result;
     const auto &attempt = request->attempts[static_cast<std::size_t>(finished.attempt)];
     --request->attempts_in_flight;
-    request->ended.push_back(result.status);
+    request->ended_statuses.push_back(result.status);
     const Micros latency = deadlines_.clock.now() - attempt->started_at;
-    if (request->streaming == attempt)
+    if (request->streaming_attempt == attempt)
         finish_stream(*request);
     else if (result.status == Status::Ok)
         complete(*request, {.kind = Outcome::Kind::Served, .value = std::move(result.value)});
@@ -156,11 +157,11 @@
 void RequestDispatcher::on_message(const RequestPointer &request, const ClientDisconnected &disconnected) {
     if (request->awaits_answer()) {
         request->on_complete = nullptr;
-        --unanswered_;
+        --unanswered_count_;
     }
-    if (request->streaming) {
-        request->streaming->stream->abandon();
-        request->streaming->stop(Status::Cancelled);
+    if (request->streaming_attempt) {
+        request->streaming_attempt->stream->abandon();
+        request->streaming_attempt->stop(Status::Cancelled);
     }
     notify_scheduler(disconnected);
 }
@@ -185,7 +186,7 @@
     return attempt;
 }
 
-/// Runs an attempt at its node, until it expires at the latest; one whose value is being streamed goes on.
+/// Runs an attempt at its node and stops it when it expires, unless its value is being streamed by then.
 asio::awaitable<void> RequestDispatcher::run_attempt(RequestPointer request, int number) {
     const std::shared_ptr<Attempt> attempt = request->attempts[static_cast<std::size_t>(number)];
     const auto expiry = deadlines_.at(attempt->expires_at, [&attempt = *attempt] {
@@ -199,32 +200,34 @@
     request->messages.put(AttemptFinished{number, std::move(result)});
 }
 
-/// A connection may have to be set up before the first byte. Meanwhile the client may disconnect, time may
-/// run out, the node may begin to drain, and it may stop dropping duplicates: what is written then would be
-/// wasted, or run twice, or reach a draining node.
+/// Checks, just before the first byte is written, that the attempt should still be sent. While the connection
+/// to the node was being set up, the client may have disconnected, the time may have run out, the node may
+/// have begun to drain, and its deduplication window may have ended. The request would then be wasted work,
+/// be executed twice, or reach a draining node.
 bool RequestDispatcher::may_write(const InFlightRequest &request, NodeId node, Micros write_by) const {
     const auto listed = nodes_.find(node);
     return request.awaits_answer() && deadlines_.clock.now() < write_by && listed != nodes_.end() &&
            listed->second == NodeState::Ready;
 }
 
-void RequestDispatcher::count_repeated_attempt(const InFlightRequest &request) {
+void RequestDispatcher::count_retry_or_hedge(const InFlightRequest &request) {
     if (request.attempts_in_flight > 0)
         ++metrics_.hedges;
     else
-        ++metrics_.retries[static_cast<std::size_t>(request.ended.back())];
+        ++metrics_.retries[static_cast<std::size_t>(request.ended_statuses.back())];
 }
 
-/// The attempt whose value was streamed has ended; its client was given the stream as the answer.
+/// Records the outcome of a request whose value was streamed, at the end of that attempt. The client was
+/// answered when the stream began.
 void RequestDispatcher::finish_stream(InFlightRequest &request) {
-    const bool complete = request.streaming->stream->is_complete();
+    const bool complete = request.streaming_attempt->stream->is_complete();
     if (!complete)
         ++metrics_.streams_broken;
     record_completion(request, {.kind = complete ? Outcome::Kind::Served : Outcome::Kind::Failed});
-    request.streaming = nullptr;
+    request.streaming_attempt = nullptr;
 }
 
-/// Gives the client its answer, if it still waits for one.
+/// Passes the outcome to the front end, if the client still waits for it.
 void RequestDispatcher::complete(InFlightRequest &request, Outcome outcome) {
     if (!request.awaits_answer())
         return;
@@ -234,9 +237,9 @@
 }
 
 void RequestDispatcher::record_completion(const InFlightRequest &request, const Outcome &outcome) {
-    --unanswered_;
+    --unanswered_count_;
     ++metrics_.completed_as(request.request->arrival.cls, outcome.kind);
-    request_log_.request_ended(*request.request, outcome, request.ended, request.attempts.size());
+    request_log_.request_ended(*request.request, outcome, request.ended_statuses, request.attempts.size());
     if (observer_)
         observer_->request_ended(request.id, *request.request, outcome, deadlines_.clock.now());
 }
@@ -253,7 +256,9 @@
     notify_scheduler(update);
 }
 
-/// The Scheduler must not be re-entered: an event that an action causes waits until that action is done.
+/// Passes an event to the Scheduler and performs the actions it returns. The Scheduler must not be
+/// re-entered: an event caused by an action is queued until all actions of the current event have been
+/// performed.
 void RequestDispatcher::notify_scheduler(Event event) {
     pending_events_.push_back(std::move(event));
     if (in_scheduler_)
@@ -266,12 +271,12 @@
         actions.clear();
         scheduler_.handle(deadlines_.clock.now(), next, actions);
         for (const Action &action : actions)
-            std::visit([this](const auto &one) { perform(one); }, action);
+            std::visit([this](const auto &alternative) { perform(alternative); }, action);
     }
     in_scheduler_ = false;
 }
 
-/// A request that is not in flight any more needs no message.
+/// Sends a message to a request; ignored if the request is no longer in flight.
 void RequestDispatcher::post(RequestId id, RequestMessage message) {
     if (const auto found = requests_.find(id); found != requests_.end())
         found->second->messages.put(std::move(message));
@@ -282,9 +287,9 @@
 }
 
 void RequestDispatcher::perform(const SetTimer &timer) {
-    const std::uint64_t number = next_timer_++;
-    timers_[number] = deadlines_.in(timer.delay, [this, number, token = timer.token] {
-        timers_.erase(number);
+    const std::uint64_t timer_id = next_timer_id_++;
+    timers_[timer_id] = deadlines_.in(timer.delay, [this, timer_id, token = timer.token] {
+        timers_.erase(timer_id);
         notify_scheduler(TimerDue{token});
     });
 }
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Runs requests: tells a Scheduler what happens to them and carries out what it decides.
+/// Runs requests: reports events to a Scheduler and performs the actions that it returns.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -20,24 +20,26 @@
 
 namespace marblewood::core {
 
-/// Actions of the Scheduler that go beyond requests and nodes; set by the owner of the dispatcher.
+/// Handlers, set by the owner of the dispatcher, for actions of the Scheduler that concern neither requests
+/// nor nodes.
 struct DispatcherCallbacks {
-    /// \param peer index of the receiving host; empty: all.
+    /// \param peer index of the receiving host; empty: all hosts.
     std::function<void(std::optional<int> peer, const std::string &data)> send_peer_message;
 };
 
-/// Owns one Scheduler, its timers and its requests. It decides nothing itself.
+/// Owns one Scheduler, its timers and its requests. All decisions are the Scheduler's.
 ///
 /// Each request is run by one coroutine, run_request(), which handles the request's messages one at a time:
-/// the Scheduler's actions, the node ports' reports and the front end's calls. What happens is passed to the
-/// Scheduler as an Event; the Actions that it returns become messages again.
+/// actions of the Scheduler, reports from node ports and calls from the front end. What happens is reported
+/// to the Scheduler as an Event. An Action that it returns for a request is sent to that request as a
+/// message.
 ///
-/// Threads: everything runs on the executor's one thread. Errors: an exception from a coroutine ends the
-/// program.
+/// Threads: everything runs on the executor's single thread. Errors: an exception from a coroutine terminates
+/// the program.
 class RequestDispatcher : public RequestHandler {
 public:
-    /// The references and `observer` (may be null) outlive the dispatcher. Throws std::invalid_argument for
-    /// contradictory settings, as the Scheduler does.
+    /// The references and `observer`, which may be null, must outlive the dispatcher. Throws
+    /// std::invalid_argument for contradictory settings, as the Scheduler does.
     RequestDispatcher(boost::asio::any_io_executor executor, Deadlines &deadlines, MemoryBudget &memory,
                       Metrics &metrics, const Settings &settings, NodePort &port,
                       DispatcherCallbacks callbacks, RequestObserver *observer = nullptr);
@@ -50,37 +52,38 @@
     void update_endpoints(const ListUpdate &update);
     void peer_message(PeerMessage message) { notify_scheduler(std::move(message)); }
 
-    /// The state for a successor; with a volume: its quota alone.
+    /// The state to hand to a successor process. With a volume, only that volume's quota.
     HandoverState handover_state(std::optional<VolumeId> only = {}) const {
         return scheduler_.handover_state(only);
     }
-    /// Takes over what handover_state() of a predecessor returned.
+    /// Restores the state that handover_state() returned in the predecessor process.
     void restore(const HandoverState &state) { notify_scheduler(state); }
-    /// With `on`, only requests already accepted are still sent; without, the successor has gone.
+    /// `on`: a successor has taken over, and only requests already accepted are still sent to nodes.
+    /// Otherwise the successor has exited, and this process serves normally again.
     void drain_for_successor(bool on) { notify_scheduler(DrainForSuccessor{on}); }
 
-    /// Requests submitted from now on are answered by `time` (Unix time in us), even if their clients would
-    /// wait longer: the process ends then.
+    /// Limits the deadline of requests submitted from now on to the Unix time `time`, at which the process is
+    /// to exit, even if their clients would wait longer.
     void cap_deadlines(Micros time) { latest_deadline_ = time; }
 
-    /// Whether the node is listed or an attempt is in flight there.
+    /// Whether the node is listed or has an attempt in flight.
     bool knows(NodeId node) const { return scheduler_.concurrency_limit(node).has_value(); }
     bool is_avoided(NodeId node) const { return scheduler_.is_avoided(node); }
     OverloadMetrics overload() const { return scheduler_.overload(); }
     /// The number of requests whose clients wait for an answer.
-    std::size_t unanswered() const { return unanswered_; }
+    std::size_t unanswered() const { return unanswered_count_; }
 
 private:
     using RequestPointer = std::shared_ptr<InFlightRequest>;
 
-    // A request's way, from top to bottom.
+    // The stages of a request, in order.
     boost::asio::awaitable<void> run_request(RequestPointer request);
     void refuse_immediately(InFlightRequest &request);
-    void announce(InFlightRequest &request);
-    bool is_open(const InFlightRequest &request) const;
+    void notify_arrival(InFlightRequest &request);
+    bool is_active(const InFlightRequest &request) const;
     void release(InFlightRequest &request);
 
-    // One step each, by the type of the message.
+    // Handlers for the messages of a request.
     void on_message(const RequestPointer &request, const Send &send);
     void on_message(const RequestPointer &request, const Cancel &cancel);
     void on_message(const RequestPointer &request, const StreamBegan &began);
@@ -93,7 +96,7 @@
     std::shared_ptr<Attempt> make_attempt(InFlightRequest &request, const Send &send);
     boost::asio::awaitable<void> run_attempt(RequestPointer request, int number);
     bool may_write(const InFlightRequest &request, NodeId node, Micros write_by) const;
-    void count_repeated_attempt(const InFlightRequest &request);
+    void count_retry_or_hedge(const InFlightRequest &request);
     void finish_stream(InFlightRequest &request);
     void complete(InFlightRequest &request, Outcome outcome);
     void record_completion(const InFlightRequest &request, const Outcome &outcome);
@@ -101,7 +104,7 @@
     void notify_scheduler(Event event);
     void post(RequestId id, RequestMessage message);
 
-    // The Scheduler's actions.
+    // Handlers for the actions of the Scheduler.
     void perform(const Send &send) { post(send.id, send); }
     void perform(const Refuse &refuse) { post(refuse.id, refuse); }
     void perform(const Fail &fail) { post(fail.id, fail); }
@@ -125,14 +128,14 @@
     RequestLog request_log_;
     Scheduler scheduler_;
 
-    std::unordered_map<RequestId, RequestPointer> requests_; // in flight
-    std::uint64_t next_request_ = 1;
-    std::size_t unanswered_ = 0;
+    std::unordered_map<RequestId, RequestPointer> requests_; // those in flight
+    std::uint64_t next_request_id_ = 1;
+    std::size_t unanswered_count_ = 0;
     Micros latest_deadline_ = INT64_MAX;
 
-    std::map<NodeId, NodeState> nodes_; // all that are listed and not gone
+    std::map<NodeId, NodeState> nodes_; // all listed nodes; never NodeState::Gone
     std::map<std::uint64_t, Deadlines::Entry> timers_;
-    std::uint64_t next_timer_ = 1;
+    std::uint64_t next_timer_id_ = 1;
 
     std::deque<Event> pending_events_;
     bool in_scheduler_ = false;
--- a/src/core/request_handler.hpp
+++ b/src/core/request_handler.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// What front ends need from the rest of the program: somewhere to submit requests, and shared services.
+/// What front ends need from the rest of the program: the interface to submit requests to, and shared
+/// services.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -14,7 +15,7 @@
 
 namespace marblewood::core {
 
-/// Accepts requests from front ends. Called on the loop's thread.
+/// Accepts requests from front ends. Called on the event loop's thread.
 class RequestHandler {
 public:
     using CompletionCallback = std::function<void(Outcome)>;
@@ -22,27 +23,28 @@
 
     virtual ~RequestHandler() = default;
     /// Starts to process a request.
-    /// \param on_complete called exactly once, unless the client disconnects before; possibly before submit()
-    ///                    returns.
-    /// \param on_released where given, called once none of the request's attempts is in flight any more, even
+    /// \param on_complete called exactly once, possibly before submit() returns; not called if the client
+    ///                    disconnects first.
+    /// \param on_released if not null, called once none of the request's attempts is in flight any more, even
     ///                    if the client has disconnected.
     virtual RequestId submit(std::shared_ptr<const Request> request, CompletionCallback on_complete,
                              ReleaseCallback on_released = nullptr) = 0;
-    /// The request's client has gone: on_complete will not be called.
+    /// Reports that the request's client has disconnected: on_complete will not be called any more.
     virtual void client_disconnected(RequestId id) = 0;
-    /// The request has to be completed soon, whatever its client's timeout: refused if nothing can have run
-    /// or a retry is harmless, else failed. One whose value is being streamed goes on.
+    /// Asks for the request to be completed soon, whatever its client's timeout. It is refused if no node can
+    /// have executed it or a retry is harmless, and failed otherwise. A request whose value is being streamed
+    /// is not affected.
     virtual void answer_now(RequestId id) = 0;
 };
 
-/// Shared by all front ends; the references outlive them.
+/// Services shared by all front ends, which the references must outlive.
 struct FrontEndServices {
-    std::function<RequestHandler &(const Request &)> request_handler; ///< the one that a request goes to
-    std::function<std::uint64_t()> random_number;                     ///< for identifiers
+    std::function<RequestHandler &(const Request &)> request_handler; ///< selects the handler for a request
+    std::function<std::uint64_t()> random_number;                     ///< used to generate identifiers
     const Settings &settings;
     Deadlines &deadlines;
     MemoryBudget &memory;
-    const bool &quiesced; ///< operators send clients away: PING is answered accordingly
+    const bool &quiesced; ///< set while operators have quiesced the broker; changes the reply to PING
     Metrics &metrics;
 };
 
--- a/src/core/request_log.cpp
+++ b/src/core/request_log.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-void RequestLog::request_ended(const Request &request, const Outcome &outcome, std::span<const Status> ended,
-                               std::size_t attempts_started) {
+void RequestLog::request_ended(const Request &request, const Outcome &outcome,
+                               std::span<const Status> ended_statuses, std::size_t attempts_started) {
     if (outcome.kind == Outcome::Kind::Served)
         return;
     const bool refused = outcome.kind == Outcome::Kind::Refused;
@@ -29,11 +29,11 @@
         return;
     if (!allow_line())
         return;
-    constexpr Micros kMillisecond = 1000; // us
+    constexpr Micros kMillisecond = 1000;
     log("{} request_id={} connection={} elapsed_ms={} timeout_ms={} attempts={} in_flight={}",
         refused ? "request_refused" : "request_failed", request.id, request.connection_id,
         (clock_.now() - request.received_at) / kMillisecond, request.timeout / kMillisecond,
-        join_names(ended), attempts_started - ended.size());
+        join_names(ended_statuses), attempts_started - ended_statuses.size());
 }
 
 bool RequestLog::allow_line() {
--- a/src/core/request_log.hpp
+++ b/src/core/request_log.hpp
@@ -11,19 +11,19 @@
 
 namespace marblewood::core {
 
-/// Writes a line for each request that failed, or was refused after an attempt, with the status of each
-/// attempt, so that the log shows why it was retried and why that did not help. Refusals before any attempt
-/// are only counted (docs/overload.md): under overload there are thousands.
+/// Writes one line for each request that failed or was refused after an attempt. The line has the status of
+/// each ended attempt, which shows why the request was retried and why the retries did not succeed. Refusals
+/// before any attempt are only counted (docs/overload.md), since there are thousands of them under overload.
 class RequestLog {
 public:
     static constexpr int kLinesPerSecond = 10; ///< further lines are suppressed and counted
 
     explicit RequestLog(const Clock &clock) : clock_(clock) {}
 
-    /// One request that has its final outcome.
-    /// \param ended            statuses of its ended attempts, in the order of their ends.
-    /// \param attempts_started how many were started.
-    void request_ended(const Request &request, const Outcome &outcome, std::span<const Status> ended,
+    /// Reports the final outcome of a request.
+    /// \param ended_statuses   statuses of its ended attempts, in the order in which they ended.
+    /// \param attempts_started number of attempts started, including those still in flight.
+    void request_ended(const Request &request, const Outcome &outcome, std::span<const Status> ended_statuses,
                        std::size_t attempts_started);
 
 private:
--- a/src/core/stream.hpp
+++ b/src/core/stream.hpp
@@ -11,17 +11,17 @@
 
 namespace marblewood::core {
 
-/// A bounded buffer with one writer (a node port) and one reader (a front end), both coroutines on the loop's
-/// thread. While the buffer is full the writer waits, and reads no more from the node.
+/// A bounded buffer with one writer (a node port) and one reader (a front end), both coroutines on the event
+/// loop's thread. While the buffer is full, the writer waits and reads nothing more from the node.
 class Stream {
 public:
     static constexpr std::size_t kBufferBytes = std::size_t{16} * 1024;
 
-    /// \param total_bytes length of the whole value.
+    /// \param total_bytes length of the complete value.
     Stream(const boost::asio::any_io_executor &executor, MemoryBudget &memory, std::size_t total_bytes)
         : length(total_bytes), data_ready_(executor), space_ready_(executor), reservation_(memory) {}
 
-    const std::size_t length; ///< of the whole value, bytes
+    const std::size_t length; ///< length of the complete value in bytes
 
     /// Writer: appends `bytes`, then waits while the buffer is full. Returns false if the reader has
     /// abandoned the stream.
@@ -33,7 +33,8 @@
             co_await space_ready_.take();
         co_return !abandoned_;
     }
-    /// Writer: no more follows. `complete`: the whole value was put. Only the first call counts.
+    /// Writer: ends the stream. `complete`: the complete value was written. Calls after the first one have no
+    /// effect.
     void finish(bool complete) {
         if (finished_)
             return;
@@ -42,7 +43,7 @@
         wake(data_ready_);
     }
 
-    /// Reader: waits for bytes and takes all that are buffered. Empty: the stream has finished.
+    /// Reader: waits for bytes and returns all that are buffered; an empty string once the stream has ended.
     boost::asio::awaitable<std::string> take() {
         while (buffer_.empty() && !finished_)
             co_await data_ready_.take();
@@ -51,9 +52,9 @@
         wake(space_ready_);
         co_return bytes;
     }
-    /// Whether it has finished with the whole value.
+    /// Whether the stream has ended after the complete value.
     bool is_complete() const { return complete_; }
-    /// Reader: the rest is not wanted.
+    /// Reader: discards the rest of the value and releases a waiting writer.
     void abandon() {
         abandoned_ = true;
         wake(space_ready_);
--- a/src/gossip/gossip_transport.cpp
+++ b/src/gossip/gossip_transport.cpp
@@ -8,7 +8,7 @@
 namespace marblewood::gossip {
 namespace {
 
-/// More than a message may have, so that a longer datagram is noticed.
+/// Larger than kMaxMessageBytes, so that a datagram that is too long is detected.
 constexpr std::size_t kReceiveBufferBytes = 512;
 
 } // namespace
@@ -54,7 +54,7 @@
 }
 
 void GossipTransport::send_datagram(const udp::endpoint &to, const std::string &data) {
-    boost::system::error_code ignored; // datagrams may be lost anywhere
+    boost::system::error_code ignored; // a failed send is treated like a datagram lost in the network
     socket_.send_to(asio::buffer(data), to, 0, ignored);
     ++datagrams_sent_;
     bytes_sent_ += data.size();
@@ -69,7 +69,7 @@
             asio::buffer(buffer), sender, asio::redirect_error(asio::use_awaitable, error));
         if (error == asio::error::operation_aborted)
             co_return;
-        // Other errors report that an earlier datagram was refused.
+        // Other errors report the rejection of an earlier datagram, and receiving goes on.
         if (!error && size <= kMaxMessageBytes)
             deliver(sender, std::string(buffer, size));
     }
--- a/src/gossip/gossip_transport.hpp
+++ b/src/gossip/gossip_transport.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Gossip between the brokers of a tier: UDP datagrams, which may be lost, late or repeated. A datagram is
-/// the message's bytes, without a header; the sender is known by its address.
+/// Gossip between the brokers of a tier over UDP. Datagrams may be lost, delayed or duplicated. A datagram
+/// contains the bytes of one message without a header; the sender is identified by its address.
 ///
-/// Threads: all of it runs on the thread of the socket's executor.
+/// Threads: everything runs on the thread of the socket's executor.
 #pragma once
 
 #include "marblewood/events.hpp"
@@ -19,27 +19,29 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-/// Longest message in bytes; the protocol forbids longer datagrams.
+/// The protocol forbids longer datagrams.
 constexpr std::size_t kMaxMessageBytes = 256;
 
+/// Sends and receives gossip messages.
 class GossipTransport {
 public:
     using MessageHandler = std::function<void(PeerMessage)>;
 
-    /// Receives from now on. `socket` is bound to this broker's own address, which is one of `peers`.
-    /// `broadcast`, where there is one, reaches all peers.
+    /// Starts to receive. `socket` must be bound to this broker's own address, which is one of `peers`.
+    /// `broadcast`, if not empty, is an address that reaches all peers.
     GossipTransport(udp::socket socket, std::vector<udp::endpoint> peers,
                     std::optional<udp::endpoint> broadcast, MessageHandler on_message);
 
-    /// Sends to the peer with this index, or to all others. A message that is too long is logged and dropped.
+    /// Sends a message to the peer with this index or, if `peer` is empty, to all others. A message that is
+    /// too long is logged and dropped.
     void send(std::optional<int> peer, const std::string &data);
 
     void start_receiving();
-    /// While another process that holds the same socket receives.
+    /// To be called when another process that shares the socket takes over receiving (hot restart).
     void stop_receiving();
 
     std::uint64_t datagrams_sent() const { return datagrams_sent_; }
-    std::uint64_t bytes_sent() const { return bytes_sent_; } ///< in the datagrams
+    std::uint64_t bytes_sent() const { return bytes_sent_; } ///< payload of the datagrams
     int descriptor() { return socket_.native_handle(); }
 
 private:
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -10,10 +10,11 @@
 namespace marblewood::hot_restart {
 namespace {
 
-/// us for a caller to say what it wants.
+/// Time limit for a connected process to send its request for the state.
 constexpr Micros kRequestTimeout = 500'000;
-/// For each part of the state. A parent that is short of processor time answers late, and a successor that
-/// gave it up would have to exit, as the addresses are still held; the parent serves meanwhile.
+/// Time limit for each packet of the state. A parent that is short of CPU time answers late, and a successor
+/// that stopped waiting would have to exit, because the parent still holds the listening addresses. Waiting
+/// does no harm, as the parent serves meanwhile.
 constexpr timeval kStateTimeout{5, 0};
 
 void set_timeouts(int socket) {
@@ -27,7 +28,7 @@
     while (auto packet = receive_packet(socket))
         if (auto state = decoder.add(std::move(*packet)))
             return std::move(*state);
-    throw MessageError("no complete state");
+    throw MessageError("did not receive the complete state");
 }
 
 } // namespace
@@ -72,24 +73,24 @@
                                        asio::redirect_error(asio::use_awaitable, error));
         if (error)
             break;
-        net::Descriptor caller(::accept4(listener_->native_handle(), nullptr, nullptr, SOCK_CLOEXEC));
-        if (caller.get() < 0 || !is_same_user(caller.get()))
+        net::Descriptor peer(::accept4(listener_->native_handle(), nullptr, nullptr, SOCK_CLOEXEC));
+        if (peer.get() < 0 || !is_same_user(peer.get()))
             continue;
-        const bool served =
-            co_await serve(std::make_shared<PacketChannel>(io_.get_executor(), std::move(caller)));
-        if (served)
-            co_return; // listen() has started another wait
+        const bool was_successor =
+            co_await serve_successor(std::make_shared<PacketChannel>(io_.get_executor(), std::move(peer)));
+        if (was_successor)
+            co_return; // listen() has already spawned another await_successor()
     }
 }
 
-asio::awaitable<bool> HotRestart::serve(std::shared_ptr<PacketChannel> successor) {
+asio::awaitable<bool> HotRestart::serve_successor(std::shared_ptr<PacketChannel> successor) {
     const bool requested = co_await receive_request(*successor);
     if (!requested)
         co_return false;
     hand_over(successor);
-    while (const auto order = co_await successor->receive())
-        execute(*order);
-    take_back(*successor);
+    while (const auto command = co_await successor->receive())
+        execute_command(*command);
+    resume_after_successor(*successor);
     co_return true;
 }
 
@@ -102,14 +103,14 @@
 void HotRestart::hand_over(const std::shared_ptr<PacketChannel> &successor) {
     state_ = State::HandedOver;
     successor_ = successor;
-    listener_.reset(); // the successor listens there from now on
+    listener_.reset(); // the successor listens at this path from now on
     for (Packet &packet : encode_state(hooks_.release_state()))
         successor->send(std::move(packet));
     core::log("hot_restart_handed_over");
     hooks_.hand_over_clients();
 }
 
-void HotRestart::take_back(PacketChannel &successor) {
+void HotRestart::resume_after_successor(PacketChannel &successor) {
     successor_ = nullptr;
     core::log("hot_restart_successor_lost action=resume");
     listen();
@@ -119,9 +120,9 @@
             hooks_.adopt_client(std::move(*client));
 }
 
-void HotRestart::execute(const Packet &order) {
-    const std::string id = order.bytes.substr(1);
-    switch (type_of(order)) {
+void HotRestart::execute_command(const Packet &command) {
+    const std::string id = command.bytes.substr(1);
+    switch (type_of(command)) {
     case MessageType::Cordon:
         return hooks_.set_cordoned(id, true);
     case MessageType::Uncordon:
@@ -131,7 +132,7 @@
     case MessageType::Resume:
         return hooks_.set_quiesced(false);
     default:
-        return; // unknown orders change nothing
+        return; // unknown message types are ignored
     }
 }
 
--- a/src/hot_restart/hot_restart.hpp
+++ b/src/hot_restart/hot_restart.hpp
@@ -1,12 +1,12 @@
 /// \file
-/// Hot restart: a new process (the successor) takes over while the old one serves. The old one is called the
-/// parent process here, though it does not fork the new one; seen from the successor it is the predecessor.
-/// The parent process hands its state and
-/// sockets, then its clients' connections, to a successor that is all set up; it keeps the requests that it
-/// has accepted. If the successor ends, the parent serves again.
+/// Hot restart: a new process (the successor) takes over while the old one keeps serving. The old process is
+/// called the parent process here, although it does not fork the new one; on the
+/// successor's side (src/app/) it is called the predecessor. The parent hands its state and sockets, and then
+/// its client connections, to the successor. It keeps the requests that it has already accepted. If the
+/// successor exits, the parent serves normally again.
 ///
-/// Both meet at a Unix socket in a directory that they share; only processes of the same user are believed.
-/// Threads: all of it runs on the io_context's one thread.
+/// The processes connect through a Unix socket in a directory that they share. Each accepts only a process of
+/// the same user. Threads: everything runs on the io_context's single thread.
 #pragma once
 
 #include "hot_restart/messages.hpp"
@@ -15,61 +15,63 @@
 
 namespace marblewood::hot_restart {
 
-/// What a successor got from its parent process.
+/// What a successor has received from its parent process.
 struct Takeover {
     ParentState parent;
-    net::Descriptor channel; ///< on which the clients' connections follow
+    net::Descriptor channel; ///< the connection over which the client connections follow
 };
 
-/// Asks the process that listens at `path` for its state. To be called before the event loop runs: it blocks,
-/// for a bounded time. Empty where nobody answers, or not in a form that can be read: the caller then starts
-/// alone.
+/// Requests the state of the process that listens at `path`. Blocks for a bounded time, so it has to be
+/// called before the event loop runs. Returns nothing if no process answers or its answer is malformed; the
+/// caller then starts without a predecessor.
 std::optional<Takeover> request_takeover(const std::string &path);
 
-/// What the process does at each step.
+/// Functions of the process that the hot restart calls at each step.
 struct ProcessHooks {
-    std::function<ParentState()> release_state; ///< stops accepting
-    std::function<void()> hand_over_clients;    ///< begins to pass clients to send_client()
-    std::function<void()> resume;               ///< the successor has ended: all is this process's again
-    std::function<void(net::Passed client)> adopt_client; ///< a client of the parent, or one not handed over
+    std::function<ParentState()> release_state; ///< stops accepting, returns what to hand over
+    std::function<void()> hand_over_clients;    ///< starts to pass client connections to send_client()
+    std::function<void()> resume;               ///< the successor has exited: serve normally again
+    std::function<void(net::Passed client)> adopt_client; ///< from the parent, or returned unsent
     std::function<void()> parent_exited;
-    /// Orders of operators, received by the successor.
+    /// Operator commands that the successor has received and forwarded.
     std::function<void(const std::string &id, bool cordoned)> set_cordoned;
     std::function<void(bool quiesced)> set_quiesced;
 };
 
+/// Both sides of a hot restart: hands over to a successor, and takes over the clients of a parent process.
 class HotRestart {
 public:
-    /// Listens at `path` for a successor from now on.
+    /// Starts to listen for a successor at `path`.
     HotRestart(asio::io_context &io, core::Deadlines &deadlines, std::string path, ProcessHooks hooks);
 
-    /// Adopts the clients of the parent process, until it exits.
+    /// Starts to adopt client connections that the parent process sends over `channel`, until it exits.
     void follow_parent(net::Descriptor channel);
-    /// Hands a client's connection to the successor.
+    /// Sends a client connection to the successor.
     void send_client(net::Passed client);
-    /// Tells a parent process that still has requests what operators have ordered here.
+    /// Forwards an operator command to the parent process, if it is still running.
     void forward_cordon(const std::string &id, bool cordoned);
     void forward_quiesce(bool quiesced);
 
     bool handed_over() const { return state_ == State::HandedOver; }
-    /// Whether nothing waits to be sent to the successor.
+    /// Whether nothing is queued for sending to the successor.
     bool all_sent() const { return !successor_ || successor_->unsent().empty(); }
 
 private:
     enum class State {
         Unavailable, ///< cannot listen for a successor
         Listening,
-        HandedOver ///< a successor has the state
+        HandedOver ///< a successor has received the state
     };
 
     void listen();
     asio::awaitable<void> await_successor();
-    /// Hands over, until the successor ends; false: it did not ask for the state.
-    asio::awaitable<bool> serve(std::shared_ptr<PacketChannel> successor);
+    /// Hands over to a successor and returns once it has exited. Returns false if the peer did not request
+    /// the state.
+    asio::awaitable<bool> serve_successor(std::shared_ptr<PacketChannel> successor);
     asio::awaitable<bool> receive_request(PacketChannel &successor);
     void hand_over(const std::shared_ptr<PacketChannel> &successor);
-    void take_back(PacketChannel &successor);
-    void execute(const Packet &order);
+    void resume_after_successor(PacketChannel &successor);
+    void execute_command(const Packet &command);
     asio::awaitable<void> receive_clients(std::shared_ptr<PacketChannel> parent);
 
     asio::io_context &io_;
--- a/src/hot_restart/messages.cpp
+++ b/src/hot_restart/messages.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxStateBytes = std::size_t{16} << 20;
 
-std::string compact(const Json::Value &value) {
+std::string to_compact_json(const Json::Value &value) {
     Json::StreamWriterBuilder writer;
     writer["indentation"] = "";
     return Json::writeString(writer, value);
@@ -36,16 +36,17 @@
     int header_bytes = 0;
     long long since = 0;
     char front[16] = {};
-    const int fields =
+    const int fields_parsed =
         std::sscanf(packet.bytes.c_str() + 1, "%15s %d %lld%n", front, &asked, &since, &header_bytes);
-    const std::size_t body = static_cast<std::size_t>(header_bytes) + 2; // behind the type and a space
-    if (fields != 3 || packet.bytes.size() < body)
+    const std::size_t body_offset =
+        static_cast<std::size_t>(header_bytes) + 2; // after the type byte and the space that ends the header
+    if (fields_parsed != 3 || packet.bytes.size() < body_offset)
         return std::nullopt;
     net::Passed client;
     client.front = front;
     client.asked = asked != 0;
     client.since = since;
-    client.bytes = packet.bytes.substr(body);
+    client.bytes = packet.bytes.substr(body_offset);
     client.descriptor = std::move(packet.descriptors.front());
     return client;
 }
@@ -56,12 +57,12 @@
         state.state["sockets"].append(name);
         descriptors.push_back(std::move(socket));
     }
-    const std::string text = compact(state.state);
+    const std::string text = to_compact_json(state.state);
     std::vector<Packet> packets;
-    std::size_t at = 0;
-    for (; text.size() - at >= kMaxPacketBytes; at += kMaxPacketBytes - 1)
-        packets.push_back(encode(MessageType::StatePart, text.substr(at, kMaxPacketBytes - 1)));
-    packets.push_back(encode(MessageType::State, text.substr(at)));
+    std::size_t offset = 0;
+    for (; text.size() - offset >= kMaxPacketBytes; offset += kMaxPacketBytes - 1)
+        packets.push_back(encode(MessageType::StatePart, text.substr(offset, kMaxPacketBytes - 1)));
+    packets.push_back(encode(MessageType::State, text.substr(offset)));
     packets.back().descriptors = std::move(descriptors);
     return packets;
 }
--- a/src/hot_restart/messages.hpp
+++ b/src/hot_restart/messages.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The messages of a hot restart. Their bytes are fixed: processes of different versions exchange them
-/// (tests/fixtures/hot_restart/).
+/// Encoding of the messages of a hot restart. The format is fixed, because processes of different versions
+/// exchange these messages (see tests/fixtures/hot_restart/).
 #pragma once
 
 #include "hot_restart/packet_channel.hpp"
@@ -12,24 +12,24 @@
 
 namespace marblewood::hot_restart {
 
-/// What a packet is: its first byte.
+/// The type of a message, sent as the first byte of its packet.
 enum class MessageType : char {
-    Request = 'T',   ///< successor: asks for the state
-    StatePart = 'P', ///< parent: a part of the state
-    State = 'S',     ///< parent: the last part, with the sockets
-    Client = 'C',    ///< parent: a client's connection
-    Cordon = 'D',    ///< successor: an operator has cordoned a node
-    Uncordon = 'U',  ///< successor: an operator has put it back
-    Quiesce = 'Q',   ///< successor: operators send clients away
-    Resume = 'R'     ///< successor: clients are taken again
+    Request = 'T',   ///< from the successor: requests the state
+    StatePart = 'P', ///< from the parent: a part of the state, but not the last one
+    State = 'S',     ///< from the parent: the last part of the state, with the sockets
+    Client = 'C',    ///< from the parent: a client connection
+    Cordon = 'D',    ///< from the successor: an operator has cordoned a node
+    Uncordon = 'U',  ///< from the successor: an operator has uncordoned a node
+    Quiesce = 'Q',   ///< from the successor: an operator has quiesced the broker
+    Resume = 'R'     ///< from the successor: an operator has ended the quiesce
 };
 
-/// A message that does not have the form above; the text says what is wrong.
+/// Thrown for a malformed message; the text describes the error.
 struct MessageError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// What a parent process leaves: its state, and its listening and UDP sockets by their names.
+/// What a parent process hands over: its state, and its listening and UDP sockets by name.
 struct ParentState {
     Json::Value state;
     std::map<std::string, net::Descriptor> sockets;
@@ -41,16 +41,17 @@
 
 Packet encode(MessageType type, const std::string &text = "");
 Packet encode_client(net::Passed client);
-/// Empty where the packet is no such message.
+/// Decodes a client connection; empty if the packet is not a well-formed Client message.
 std::optional<net::Passed> decode_client(Packet &packet);
 
-/// The packets that carry a state, in their order.
+/// Encodes a state as a sequence of packets.
 std::vector<Packet> encode_state(ParentState state);
 
-/// Joins the packets of a state.
+/// Decodes a state from its sequence of packets.
 class StateDecoder {
 public:
-    /// Adds a packet; the state, once complete. Throws MessageError, or config::Error for its JSON.
+    /// Adds a packet. Returns the state after the last packet, nothing before. Throws MessageError for an
+    /// invalid packet and config::Error for invalid JSON.
     std::optional<ParentState> add(Packet packet);
 
 private:
--- a/src/hot_restart/packet_channel.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr int kListenBacklog = 4;
-constexpr mode_t kOwnerOnly = 0600;
-/// Before a further attempt where the system holds too many descriptors that are on their way.
-constexpr auto kDescriptorsInFlightPause = std::chrono::milliseconds(1);
+constexpr mode_t kOwnerOnlyMode = 0600;
+/// Delay before the next attempt to send while the system has too many descriptors in flight (ETOOMANYREFS).
+constexpr auto kDescriptorsInFlightRetryDelay = std::chrono::milliseconds(1);
 
 std::optional<sockaddr_un> unix_address(const std::string &path) {
     sockaddr_un address{};
@@ -24,19 +24,19 @@
     return address;
 }
 
-/// Opens a socket and has `setup` bind or connect it: false where it fails.
+/// Opens a socket and calls `setup`, which binds or connects it and returns false on failure.
 template <typename Setup> net::Descriptor open_socket(const std::string &path, Setup setup) {
     const auto address = unix_address(path);
     if (!address)
         return net::Descriptor();
     net::Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
-    const auto *const generic = reinterpret_cast<const sockaddr *>(&*address);
-    if (socket.get() < 0 || !setup(socket.get(), generic, socklen_t{sizeof *address}))
+    const auto *const generic_address = reinterpret_cast<const sockaddr *>(&*address);
+    if (socket.get() < 0 || !setup(socket.get(), generic_address, socklen_t{sizeof *address}))
         return net::Descriptor();
     return socket;
 }
 
-/// Storage for descriptors, aligned as the system requires.
+/// Control message buffer for descriptors, with the alignment that the system requires.
 union ControlBuffer {
     char bytes[CMSG_SPACE(sizeof(int) * kMaxDescriptors)];
     cmsghdr align;
@@ -57,7 +57,8 @@
     return descriptors;
 }
 
-void put_descriptors(msghdr &header, ControlBuffer &buffer, const std::vector<net::Descriptor> &descriptors) {
+void attach_descriptors(msghdr &header, ControlBuffer &buffer,
+                        const std::vector<net::Descriptor> &descriptors) {
     const std::size_t count = std::min(descriptors.size(), kMaxDescriptors);
     if (count == 0)
         return;
@@ -78,7 +79,7 @@
 net::Descriptor listen_at(const std::string &path) {
     ::unlink(path.c_str());
     return open_socket(path, [&](int socket, const sockaddr *address, socklen_t size) {
-        return ::bind(socket, address, size) == 0 && ::chmod(path.c_str(), kOwnerOnly) == 0 &&
+        return ::bind(socket, address, size) == 0 && ::chmod(path.c_str(), kOwnerOnlyMode) == 0 &&
                ::listen(socket, kListenBacklog) == 0;
     });
 }
@@ -90,9 +91,9 @@
 }
 
 bool is_same_user(int socket) {
-    ucred other{};
-    socklen_t size = sizeof other;
-    return ::getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &other, &size) == 0 && other.uid == ::geteuid();
+    ucred peer{};
+    socklen_t size = sizeof peer;
+    return ::getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == ::geteuid();
 }
 
 std::optional<Packet> receive_packet(int socket) {
@@ -120,7 +121,7 @@
     msghdr header{};
     header.msg_iov = &part;
     header.msg_iovlen = 1;
-    put_descriptors(header, buffer, packet.descriptors);
+    attach_descriptors(header, buffer, packet.descriptors);
     errno = 0;
     return ::sendmsg(socket, &header, MSG_NOSIGNAL) >= 0;
 }
@@ -155,12 +156,13 @@
     }
 }
 
-// Full, or more descriptors are on their way than the system allows (ETOOMANYREFS): the other side takes
-// them.
+// Waits until sending can be tried again. With ETOOMANYREFS, more descriptors are in flight than the system
+// allows, and the peer has to receive some first; this cannot be awaited, so the function only waits a
+// moment. Otherwise the socket's buffer is full.
 asio::awaitable<boost::system::error_code> PacketChannel::wait_until_writable(int cause) {
     boost::system::error_code error;
     if (cause == ETOOMANYREFS) {
-        asio::steady_timer timer(socket_.get_executor(), kDescriptorsInFlightPause);
+        asio::steady_timer timer(socket_.get_executor(), kDescriptorsInFlightRetryDelay);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     } else {
         co_await socket_.async_wait(asio::posix::descriptor_base::wait_write,
--- a/src/hot_restart/packet_channel.hpp
+++ b/src/hot_restart/packet_channel.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Packets with file descriptors between a process and its successor, over a Unix socket of sequenced
-/// packets.
+/// Exchange of packets with file descriptors between a process and its successor, over a Unix socket of type
+/// SOCK_SEQPACKET.
 #pragma once
 
 #include "net/descriptor.hpp"
@@ -20,37 +20,39 @@
 inline constexpr std::size_t kMaxPacketBytes = 60UL * 1024;
 inline constexpr std::size_t kMaxDescriptors = 4;
 
-/// One message; never empty once received.
+/// One message with the descriptors it carries. A received packet is never empty.
 struct Packet {
     std::string bytes;
     std::vector<net::Descriptor> descriptors;
 };
 
-/// Listens at `path`, for this user only; a stale socket there is removed. No descriptor on failure.
+/// Listens at `path`, accessible only to this user. Removes a stale socket file there. Returns an empty
+/// Descriptor on failure.
 net::Descriptor listen_at(const std::string &path);
-/// Connects to whoever listens at `path`. No descriptor on failure.
+/// Connects to the process that listens at `path`. Returns an empty Descriptor on failure.
 net::Descriptor connect_to(const std::string &path);
-/// Whether the other side of a connected socket runs as the same user.
+/// Whether the peer of a connected socket runs as the same user.
 bool is_same_user(int socket);
 
-/// Receives one packet. Empty on failure, with the cause in errno; 0: the other side has closed.
+/// Receives one packet. Returns nothing on failure, with the cause in errno, or at the end of the connection,
+/// with errno 0.
 std::optional<Packet> receive_packet(int socket);
-/// Sends one packet. False on failure, with the cause in errno.
+/// Sends one packet. Returns false on failure, with the cause in errno.
 bool send_packet(int socket, const Packet &packet);
 
-/// One end of a connection, used on the event loop's thread. Held by shared_ptr, as a write under way refers
-/// to it.
+/// One end of a connection, used on the event loop's thread. Owned by shared_ptr, because the coroutine that
+/// writes the queue keeps a reference to it.
 class PacketChannel : public std::enable_shared_from_this<PacketChannel> {
 public:
     PacketChannel(const asio::any_io_executor &executor, net::Descriptor socket);
 
-    /// Queues a packet, which goes out as the other side takes it.
+    /// Queues a packet, which is sent as soon as the socket accepts it.
     void send(Packet packet);
-    /// Waits for a packet; empty once the other side has closed.
+    /// Waits for a packet. Returns nothing once the peer has closed the connection, or after an error.
     asio::awaitable<std::optional<Packet>> receive();
     void close();
 
-    /// What is queued; after the other side has closed: what it did not get.
+    /// The packets not sent yet; after the end of the connection, those that the peer did not receive.
     std::deque<Packet> &unsent() { return queue_; }
 
 private:
--- a/tests/confined_test.cpp
+++ b/tests/confined_test.cpp
@@ -1,5 +1,6 @@
-// The program under the fleet bench's terms (tests/confined.cpp sets the filter): it starts, serves on
-// loopback, waits when there is nothing to do, and ends cleanly at SIGTERM with every request answered.
+// Tests the program under the restrictions of the fleet benchmark; tests/confined.cpp installs the filter.
+// The program must start, serve on loopback, sleep while idle, and exit cleanly at SIGTERM with every request
+// answered.
 #include "helper.hpp"
 
 #include <fstream>
@@ -8,12 +9,13 @@
 
 namespace {
 
-const std::string kPiece = "7f3a9c21e0b4d655";
+const std::string kDataKey = "7f3a9c21e0b4d655";
 
 long cpu_ticks(pid_t pid) { // user and system time of all its threads, in clock ticks
     std::ifstream file(fmt::format("/proc/{}/stat", pid));
     std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-    std::istringstream rest(text.substr(text.rfind(')') + 2)); // the name may hold spaces
+    std::istringstream rest(
+        text.substr(text.rfind(')') + 2)); // skips the program name, which may contain spaces
     std::string field;
     long user = 0, system = 0;
     for (int n = 3; n <= 15 && rest >> field; ++n) {
@@ -25,8 +27,8 @@
     return user + system;
 }
 
-// The way between a process and its successor is a Unix socket, which the filter refuses: the program says
-// so and serves.
+// A hot restart needs a Unix socket, which the filter denies. The program must log this and serve without hot
+// restart.
 void serves_without_the_handover() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -34,20 +36,20 @@
     program.await_log("hot_restart_listen_failed path=");
     Socket client = program.client();
     for (int n = 0; n < 20; ++n) {
-        client.send(get(kPiece));
+        client.send(get(kDataKey));
         assert(client.value()->text == "v");
     }
     program.signal(SIGTERM);
     assert(program.exit_code() == 0);
 }
 
-// No thread spins: with nothing to do for two seconds the program uses well under one of processor time.
+// No thread spins: in two seconds without work the program uses less than one second of CPU time.
 void waits_when_idle() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
     Program program(discovery);
     Socket client = program.client();
-    client.send(get(kPiece));
+    client.send(get(kDataKey));
     assert(client.value()->text == "v");
     const long before = cpu_ticks(program.pid());
     std::this_thread::sleep_for(2s);
@@ -56,23 +58,23 @@
     assert(used < ::sysconf(_SC_CLK_TCK));
 }
 
-// What it took before SIGTERM is answered before it ends, and it ends by itself.
+// A request accepted before SIGTERM is answered before the process exits, and the process exits by itself.
 void answers_what_it_took_at_sigterm() {
-    std::atomic<bool> go = false;
+    std::atomic<bool> node_may_answer = false;
     RespNode node([&](const auto &, int) {
-        while (!go)
+        while (!node_may_answer)
             std::this_thread::sleep_for(1ms);
         return RespNode::served("late");
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
     Program program(discovery);
     Socket client = program.client();
-    client.send(get(kPiece));
+    client.send(get(kDataKey));
     while (node.taken().empty())
         std::this_thread::sleep_for(1ms);
     program.signal(SIGTERM);
-    std::this_thread::sleep_for(100ms); // the node answers while the program is on its way out
-    go = true;
+    std::this_thread::sleep_for(100ms); // the node answers during the shutdown
+    node_may_answer = true;
     assert(client.value()->text == "late");
     assert(program.exit_code() == 0);
 }
--- a/tests/control_format_test.cpp
+++ b/tests/control_format_test.cpp
@@ -1,4 +1,5 @@
-// The bytes of calls to discovery and of the admin interface's replies, as documented in the protocol.
+// Checks the exact bytes of requests to discovery and of replies from the admin interface against the
+// documented protocols.
 #include "helper.hpp"
 
 using namespace test;
@@ -43,7 +44,7 @@
            text_reply("413 Content Too Large", "Content Too Large\n"));
 }
 
-// A process that has handed over answers changes with 503.
+// A process that has handed over to a successor answers calls that change something with 503.
 void admin_replies_after_a_hot_restart() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program parent(discovery);
@@ -53,7 +54,7 @@
     assert(raw_call(parent.control, "GET /admin/health HTTP/1.1\r\n\r\n") == text_reply("200 OK", "ok\n"));
 }
 
-// Names, order and types of the figures; their values are held by control_test.
+// Checks the names, order and types of the metrics; control_test checks their values.
 void names_of_the_statistics() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -69,15 +70,16 @@
     assert(names == expected.str());
 }
 
-/// What a program is given as its discovery: an address and the list to start with.
+/// A discovery service as the test program's configuration refers to it: a port and the known endpoint list.
 struct ListSourceAddress {
-    int number;
-    std::string list;
-    int port() const { return number; }
-    std::string known() const { return list; }
+    int port_number;
+    std::string known_list;
+    int port() const { return port_number; }
+    std::string known() const { return known_list; }
 };
 
-/// The first calls of a watch, byte by byte; each is answered at once with a newer, empty list of changes.
+/// Returns the first requests of a watch, as received. Each is answered at once with an empty list of changes
+/// at a newer revision.
 std::vector<std::string> calls_of_a_watch(std::size_t count) {
     std::mutex mutex;
     std::vector<std::string> calls;
@@ -109,7 +111,7 @@
     return first;
 }
 
-// The path, its query and the headers of long polls; only the time to wait is drawn at random.
+// Checks the path, query and headers of long polls. Only the timeout in the query is random.
 void discovery_requests() {
     const auto calls = calls_of_a_watch(2);
     for (std::size_t n = 0; n < calls.size(); ++n) {
@@ -124,7 +126,7 @@
     }
 }
 
-// A discovery that has moved is asked for its whole list, without a query.
+// After a change of its address, discovery is asked for the complete list, without a query.
 void request_for_the_complete_list() {
     std::mutex mutex;
     std::string call;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,4 @@
-// The small parts of src/core/ and src/app/ that need no sockets.
+// Unit tests of the parts of src/core/ and src/app/ that need no sockets.
 #include "app/shutdown_schedule.hpp"
 #include "core/backoff.hpp"
 #include "core/endpoint_list.hpp"
@@ -12,7 +12,7 @@
 namespace marblewood {
 namespace {
 
-constexpr Micros kMs = 1000;
+constexpr Micros kMillisecond = 1000;
 
 std::vector<ClassSettings> classes_with_deadlines(std::initializer_list<Micros> deadlines) {
     std::vector<ClassSettings> classes;
@@ -22,16 +22,17 @@
 }
 
 TEST(ShutdownSchedule, FollowsTheLongestDeadline) {
-    const auto schedule =
-        app::ShutdownSchedule::starting_at(1'000'000, classes_with_deadlines({200 * kMs, 1500 * kMs}));
-    EXPECT_EQ(schedule.exit_at - 1'000'000, 1500 * kMs + 700 * kMs - 150 * kMs);
-    EXPECT_EQ(schedule.exit_at - schedule.answer_all_at, 200 * kMs);
-    EXPECT_EQ(schedule.exit_at - schedule.close_connections_at, 400 * kMs);
+    const auto schedule = app::ShutdownSchedule::starting_at(
+        1'000'000, classes_with_deadlines({200 * kMillisecond, 1500 * kMillisecond}));
+    EXPECT_EQ(schedule.exit_at - 1'000'000, 1500 * kMillisecond + 700 * kMillisecond - 150 * kMillisecond);
+    EXPECT_EQ(schedule.exit_at - schedule.answer_all_at, 200 * kMillisecond);
+    EXPECT_EQ(schedule.exit_at - schedule.close_connections_at, 400 * kMillisecond);
 }
 
 TEST(ShutdownSchedule, CountsNoDeadlineAboveThreeSeconds) {
-    const auto schedule = app::ShutdownSchedule::starting_at(0, classes_with_deadlines({60'000 * kMs}));
-    EXPECT_EQ(schedule.exit_at, 3000 * kMs + 700 * kMs - 150 * kMs);
+    const auto schedule =
+        app::ShutdownSchedule::starting_at(0, classes_with_deadlines({60'000 * kMillisecond}));
+    EXPECT_EQ(schedule.exit_at, 3000 * kMillisecond + 700 * kMillisecond - 150 * kMillisecond);
 }
 
 TEST(LogRateLimiter, AllowsLinesAgainInTheNextSecondAndCountsTheOthers) {
--- a/tests/hot_restart_format_test.cpp
+++ b/tests/hot_restart_format_test.cpp
@@ -1,8 +1,9 @@
-// The messages that a process exchanges with its successor, held byte by byte: a new version must read what
-// an older one hands over. tests/fixtures/hot_restart/ has packets that version 0.1.0 (98b3caf) wrote.
+// Checks the format of the messages that a process exchanges with its successor: a new version must be able
+// to read what an older one hands over. tests/fixtures/hot_restart/ has packets written by version 0.1.0
+// (98b3caf).
 //
-// `hot_restart_format_test record` writes the packets of the program as it is to that folder's place, for a
-// deliberate change of the format only.
+// `hot_restart_format_test record` replaces the fixtures with packets of the current program. Use it only for
+// a deliberate change of the format.
 #include "helper.hpp"
 
 #include <json/json.h>
@@ -15,14 +16,15 @@
 namespace {
 
 const std::filesystem::path kFixtures = std::filesystem::path(MARBLEWOOD_FIXTURES) / "hot_restart";
-const std::string kKey = "7f3a9c21e0b4d655";
+const std::string kDataKey = "7f3a9c21e0b4d655";
 constexpr std::size_t kMaxPacketBytes = 64 * 1024;
 constexpr std::size_t kMaxDescriptors = 4;
-// The plan's rate limit: a volume without a history starts with no units, and has kLeastRestored after this.
+// The plan's rate limit. A volume without a history starts with no units and has at least kMinRestoredUnits
+// after kRefillTime.
 constexpr double kUnitsPerSecond = 30;
 constexpr double kBurstUnits = 400;
 constexpr auto kRefillTime = 3s;
-constexpr double kLeastRestored = 60;
+constexpr double kMinRestoredUnits = 60;
 
 struct Packet {
     std::string bytes;
@@ -98,7 +100,8 @@
     return std::make_unique<PacketSocket>(descriptor);
 }
 
-/// Listens where successors look for a parent process, in place of the program that has handed over to us.
+/// Listens at the path at which a successor looks for its parent process, in place of the parent program,
+/// which has handed over to this test.
 class RendezvousListener {
 public:
     explicit RendezvousListener(const std::string &folder)
@@ -142,13 +145,13 @@
 }
 
 std::string served_value(Socket &client, int shard) {
-    client.send(get(kKey, shard));
+    client.send(get(kDataKey, shard));
     const auto answer = client.value();
     assert(answer);
     return answer->text;
 }
 
-/// The state packet's JSON, with the parts joined as a successor joins them.
+/// The JSON of a state, joined from its packets as a successor does, and the descriptors sent with it.
 struct ReceivedState {
     std::string json;
     std::vector<int> descriptors;
@@ -166,8 +169,7 @@
     }
 }
 
-/// The state of a process with a node out by hand, clients sent away, a rate limit partly spent and a node
-/// that is warming up.
+/// The state of a quiesced process with a cordoned node, a partly used rate limit and a node in slow start.
 std::string state_of_a_running_program() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0) + "," + member("s-2", free_port(), 1) + "," +
@@ -182,7 +184,7 @@
     for (int n = 0; n < 5; ++n)
         assert(served_value(client, 0) == "v");
     assert(program.call("POST", "cordon", "s-1").first == 200);
-    assert(program.call("POST", "uncordon", "s-1").first == 200); // counts as started now
+    assert(program.call("POST", "uncordon", "s-1").first == 200); // starts a slow start
     for (int n = 0; n < 100 && served_value(client, 0) != "v"; ++n)
         ;
     assert(program.call("POST", "cordon", "s-2").first == 200);
@@ -200,7 +202,7 @@
     return {names.begin(), names.end()};
 }
 
-// The fields, and their types, that any version's successor relies on.
+// Checks the fields of the state and their types, on which successors of any version rely.
 void the_state_has_the_fields_of_the_fixture() {
     const Json::Value fixture = parse(read_file(kFixtures / "state.json"));
     const Json::Value state = parse(state_of_a_running_program());
@@ -225,12 +227,13 @@
     }
     assert(fields(state["fleet"]["limits"][0]) == fields(fixture["fleet"]["limits"][0]));
     assert(state["fleet"]["limits"][0]["volume"] == fixture["fleet"]["limits"][0]["volume"]);
-    const Json::Value &sends = state["fleet"]["nodes"][0]["spent"];
-    assert(!sends.empty() && fields(sends[0]) == fields(fixture["fleet"]["nodes"][0]["spent"][0]));
+    const Json::Value &slow_start_sends = state["fleet"]["nodes"][0]["spent"];
+    assert(!slow_start_sends.empty() &&
+           fields(slow_start_sends[0]) == fields(fixture["fleet"]["nodes"][0]["spent"][0]));
 }
 
-/// A program that took over with the fixture's state: the test stands between it and its real parent, whose
-/// sockets it passes on.
+/// A program that has taken over the state in the fixture. The test acts as its parent process and passes on
+/// the sockets of a real parent.
 class RestoredProgram {
 public:
     RestoredProgram()
@@ -243,7 +246,7 @@
         const ReceivedState received = receive_state(*parent_channel);
         client_packet_ = parent_channel->receive();
         const RendezvousListener listener(folder());
-        std::thread hands_over([&] {
+        std::thread parent_role([&] {
             channel_ = listener.accept();
             assert(channel_->receive().bytes == "T");
             const std::string state = read_file(kFixtures / "state.json");
@@ -251,8 +254,8 @@
             channel_->send("P" + state.substr(0, half));
             channel_->send("S" + state.substr(half), received.descriptors);
         });
-        program_.emplace(parent_); // here: a child ends with the thread that started it
-        hands_over.join();
+        program_.emplace(parent_); // on this thread: the child process ends with the thread that started it
+        parent_role.join();
         client_.emplace(std::move(client));
     }
     const PacketSocket &channel() const { return *channel_; }
@@ -261,8 +264,8 @@
     Socket &client() { return *client_; }
     std::string folder() const { return std::filesystem::path(parent_.path("config.json")).parent_path(); }
 
-    /// The front of a command whose rest comes after the hot restart.
-    inline static const std::string kCommand = get(kKey, 7, 300, "9b1f03aa5c7e2d41");
+    /// A command, and the beginning of it, which is sent before the hot restart; the rest is sent afterwards.
+    inline static const std::string kCommand = get(kDataKey, 7, 300, "9b1f03aa5c7e2d41");
     inline static const std::string kUnfinishedCommand = kCommand.substr(0, kCommand.size() - 20);
 
 private:
@@ -272,7 +275,8 @@
             assert(::ioctl(client.descriptor(), SIOCOUTQ, &unacknowledged) == 0);
             std::this_thread::sleep_for(5ms);
         }
-        std::this_thread::sleep_for(100ms); // for the program to read what its kernel has
+        std::this_thread::sleep_for(
+            100ms); // gives the program time to read the bytes that the kernel has received
     }
 
     const Discovery discovery_;
@@ -292,7 +296,7 @@
     return parse(state.json);
 }
 
-// What was handed over is what the successor would hand over itself, to the last field.
+// A successor hands over the same state that it has received.
 void the_fixture_is_restored() {
     const Json::Value fixture = parse(read_file(kFixtures / "state.json"));
     const RestoredProgram restored;
@@ -306,14 +310,14 @@
         assert(state["fleet"][part] == fixture["fleet"][part]);
 }
 
-// A volume's rate limit goes on from what its parent process had left.
+// A volume's rate limit continues with the units left in the parent process.
 void the_rate_limit_is_restored() {
     const Json::Value fixture = parse(read_file(kFixtures / "state.json"));
     const double left = fixture["fleet"]["limits"][0]["units"].asDouble();
-    assert(left >= kLeastRestored && left <= kBurstUnits);
+    assert(left >= kMinRestoredUnits && left <= kBurstUnits);
     RestoredProgram restored;
     Socket client = restored.program().client();
-    client.send(get(kKey, 7, 300));
+    client.send(get(kDataKey, 7, 300));
     assert(client.value()->text.starts_with("BUSY"));
     const Json::Value state = state_handed_over_by(restored.program());
     const Json::Value &limits = state["fleet"]["limits"];
@@ -323,7 +327,8 @@
     assert(limits[0]["lent"] == fixture["fleet"]["limits"][0]["lent"]);
 }
 
-// A client's connection in the form of the fixture goes on where it was, and is handed over in that form.
+// A client connection handed over in the format of the fixture continues after its partly received command,
+// and the program hands connections over in the same format.
 void a_clients_connection_is_restored() {
     const std::string fixture = read_file(kFixtures / "client.bin");
     RestoredProgram restored;
@@ -342,7 +347,7 @@
     assert(restored.client().value()->text.starts_with("BUSY"));
 }
 
-// What operators tell a successor reaches its parent process in these bytes.
+// A successor forwards operator commands to its parent process in this format.
 void operators_changes_reach_the_parent_process() {
     const RestoredProgram restored;
     const Program &program = restored.program();
@@ -353,7 +358,7 @@
     assert(program.call("POST", "quiesce").first == 200 && channel.receive().bytes == "Q");
 }
 
-// And they are carried out by a parent process that receives them from its successor.
+// A parent process executes the operator commands that its successor forwards.
 void the_parent_process_carries_out_its_successors_orders() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const Program program(discovery);
@@ -361,15 +366,15 @@
     channel->send("T");
     for (const int descriptor : receive_state(*channel).descriptors)
         ::close(descriptor);
-    const auto await_figure = [&](const char *name, long value) {
+    const auto await_metric = [&](const char *name, long value) {
         for (int n = 0; n < 500 && program.figures().at(name) != value; ++n)
             std::this_thread::sleep_for(10ms);
         assert(program.figures().at(name) == value);
     };
     channel->send("Ds-1");
-    await_figure("cluster_unhealthy", 1);
+    await_metric("cluster_unhealthy", 1);
     channel->send("Us-1");
-    await_figure("cluster_unhealthy", 0);
+    await_metric("cluster_unhealthy", 0);
 }
 
 void record() {
