--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// A process replaced while it serves, as clients, nodes and operators meet it.
+// End-to-end tests of a hot restart, from the point of view of clients, nodes and operators.
 #include "helper.hpp"
 
 #include <cstring>
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::string kPiece = "7f3a9c21e0b4d655", kPing = "*1\r\n$4\r\nPING\r\n";
+const std::string kDataKey = "7f3a9c21e0b4d655", kPing = "*1\r\n$4\r\nPING\r\n";
 
 RespNode::Script slow_for(const char *piece, std::chrono::milliseconds time) {
     return [=](const auto &words, int) {
@@ -18,75 +18,79 @@
     };
 }
 
-// No connection is closed and no request turned back: idle ones go over at once, one with half a command goes
-// on where it was, a busy one goes over after its answer.
+// A hot restart closes no connection and refuses no request. Idle connections are handed over at once, one
+// with a partly received command continues where it was, and a busy one is handed over after its answer.
 void connections_go_over() {
     RespNode node(slow_for("00000000000000aa", 700ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
-    Program old(discovery);
-    Socket idle = old.client(), half = old.client(), busy = old.client();
+    Program predecessor(discovery);
+    Socket idle = predecessor.client(), partial = predecessor.client(), busy = predecessor.client();
     idle.send(kPing);
     assert(idle.value()->text == "PONG");
     const std::string command = get("00000000000000bb"),
                       write = put("00000000000000cc", std::string(3000, 'x'));
-    half.send(command +
-              write.substr(0, write.size() - 700)); // its first is answered, of the second a part is there
-    assert(half.value()->text == "00000000000000bb");
+    partial.send(command +
+                 write.substr(0, write.size() - 700)); // one complete command, and a part of the second
+    assert(partial.value()->text == "00000000000000bb");
     busy.send(get("00000000000000aa", 0, 3000));
     while (node.taken().size() < 2)
         std::this_thread::sleep_for(5ms);
-    Program fresh(old);
-    idle.send(get(kPiece));
-    assert(idle.value()->text == kPiece);
-    half.send(write.substr(write.size() - 700));
-    assert(half.value()->text == "00000000000000cc");
-    assert(fresh.figures().at("answered.read") == 1 && fresh.figures().at("answered.new-write") == 1);
+    Program successor(predecessor);
+    idle.send(get(kDataKey));
+    assert(idle.value()->text == kDataKey);
+    partial.send(write.substr(write.size() - 700));
+    assert(partial.value()->text == "00000000000000cc");
+    assert(successor.figures().at("answered.read") == 1 && successor.figures().at("answered.new-write") == 1);
     assert(busy.value()->text == "00000000000000aa");
-    assert(old.figures().at("answered.read") == 2);
-    old.signal(SIGTERM);
-    assert(old.exit_code() == 0);
-    busy.send(get(kPiece));
-    assert(busy.value()->text == kPiece);
-    Socket newcomer = fresh.client();
+    assert(predecessor.figures().at("answered.read") == 2);
+    predecessor.signal(SIGTERM);
+    assert(predecessor.exit_code() == 0);
+    busy.send(get(kDataKey));
+    assert(busy.value()->text == kDataKey);
+    Socket newcomer = successor.client();
     newcomer.send(kPing);
     assert(newcomer.value()->text == "PONG");
-    fresh.signal(SIGTERM);
-    assert(fresh.exit_code() == 0);
+    successor.signal(SIGTERM);
+    assert(successor.exit_code() == 0);
 }
 
-// What operators have done holds on, and the old process takes no more of it.
+// Cordons and the quiesce state carry over to the successor, and the predecessor rejects further changes.
 void what_operators_did_holds() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0) + "," + member("s-2", free_port(), 1));
-    Program old(discovery);
-    assert(old.call("POST", "cordon", "s-1").first == 200 && old.call("POST", "quiesce").first == 200);
-    Program fresh(old);
-    assert(old.call("POST", "cordon", "s-2").first == 503 && old.call("GET", "stats").first == 200);
-    old.signal(SIGKILL);
-    Socket client = fresh.client();
+    Program predecessor(discovery);
+    assert(predecessor.call("POST", "cordon", "s-1").first == 200 &&
+           predecessor.call("POST", "quiesce").first == 200);
+    Program successor(predecessor);
+    assert(predecessor.call("POST", "cordon", "s-2").first == 503 &&
+           predecessor.call("GET", "stats").first == 200);
+    predecessor.signal(SIGKILL);
+    Socket client = successor.client();
     client.send(kPing);
     assert(client.value()->text == "ERR draining");
-    client.send(get(kPiece, 0, 600));
+    client.send(get(kDataKey, 0, 600));
     assert(client.value()->text.starts_with("BUSY") && node.taken().empty());
-    assert(fresh.figures().at("cluster_unhealthy") == 1);
-    assert(fresh.call("POST", "resume").first == 200 && fresh.call("POST", "uncordon", "s-1").first == 200);
-    Socket again = fresh.client();
+    assert(successor.figures().at("cluster_unhealthy") == 1);
+    assert(successor.call("POST", "resume").first == 200 &&
+           successor.call("POST", "uncordon", "s-1").first == 200);
+    Socket again = successor.client();
     do
-        again.send(get(kPiece));
+        again.send(get(kDataKey));
     while (again.value()->text != "v");
 }
 
-// A predecessor works on with what it had taken. What operators tell its successor holds for it, too: of two
-// nodes that hold the data the one breaks off the request, and the other was taken out meanwhile.
+// A predecessor finishes the requests that it has accepted, and operator commands given to its successor
+// apply to it, too. Here one of two nodes that hold the data rejects the request after the other node was
+// cordoned at the successor: the predecessor must not retry at the cordoned node.
 void a_predecessor_hears_what_operators_tell_its_successor() {
-    std::atomic<bool> taken_out = false;
+    std::atomic<bool> cordoned = false;
     std::atomic<int> first = -1;
     const auto script = [&](int number) {
         return [&, number](const auto &words, int) {
             int none = -1;
             if (words.size() <= 3 || !first.compare_exchange_strong(none, number))
                 return RespNode::served("v");
-            while (!taken_out)
+            while (!cordoned)
                 std::this_thread::sleep_for(5ms);
             return std::string("-BUSY\r\n");
         };
@@ -94,64 +98,65 @@
     RespNode nodes[] = {RespNode(script(0)), RespNode(script(1))};
     const Discovery discovery(member("s-0", nodes[0].server.port, 0) + "," +
                               member("s-1", nodes[1].server.port, 0));
-    Program old(discovery);
-    Socket busy = old.client();
-    busy.send(get(kPiece, 0, 6000));
+    Program predecessor(discovery);
+    Socket busy = predecessor.client();
+    busy.send(get(kDataKey, 0, 6000));
     while (first < 0)
         std::this_thread::sleep_for(5ms);
     const RespNode &other = nodes[1 - first];
     const std::string out = fmt::format("s-{}", 1 - first);
-    Program fresh(old);
-    assert(fresh.call("POST", "cordon", out).first == 200);
-    std::this_thread::sleep_for(300ms); // what goes to it from now on is too late
-    taken_out = true;
+    Program successor(predecessor);
+    assert(successor.call("POST", "cordon", out).first == 200);
+    std::this_thread::sleep_for(300ms); // the cordon has reached the predecessor by now
+    cordoned = true;
     assert(busy.value().has_value());
     assert(other.taken().empty());
-    fresh.signal(SIGKILL); // the predecessor takes all back, and the node is out there, too
-    fresh.exit_code();
-    assert(old.figures().at("cluster_unhealthy") == 1);
-    assert(old.call("POST", "uncordon", out).first == 200);
-    assert(old.figures().at("cluster_unhealthy") == 0);
+    successor.signal(SIGKILL); // the predecessor serves again, with the node still cordoned
+    successor.exit_code();
+    assert(predecessor.figures().at("cluster_unhealthy") == 1);
+    assert(predecessor.call("POST", "uncordon", out).first == 200);
+    assert(predecessor.figures().at("cluster_unhealthy") == 0);
 }
 
-// One that is out of processor time for a while is waited for: a start that gave it up could not have its
-// addresses.
+// A successor waits for a predecessor that gets no CPU time for a while. If it stopped waiting, it could not
+// start, because the predecessor still holds the listening addresses.
 void a_predecessor_that_answers_late_is_waited_for() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    Program old(discovery);
-    old.signal(SIGSTOP);
-    std::thread wakes([&] {
+    Program predecessor(discovery);
+    predecessor.signal(SIGSTOP);
+    std::thread wake_later([&] {
         std::this_thread::sleep_for(2500ms);
-        old.signal(SIGCONT);
+        predecessor.signal(SIGCONT);
     });
-    Program fresh(old);
-    wakes.join();
-    Socket client = fresh.client();
-    client.send(get(kPiece));
+    Program successor(predecessor);
+    wake_later.join();
+    Socket client = successor.client();
+    client.send(get(kDataKey));
     assert(client.value()->text == "v");
-    assert(fresh.figures().at("answered.read") == 1);
-    old.signal(SIGTERM);
-    assert(old.exit_code() == 0);
+    assert(successor.figures().at("answered.read") == 1);
+    predecessor.signal(SIGTERM);
+    assert(predecessor.exit_code() == 0);
 }
 
-// The successor dies: the predecessor takes everything back, and can be replaced again.
+// If the successor dies, the predecessor serves normally again and can be replaced again.
 void a_dead_successor_leaves_all_to_its_predecessor() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    Program old(discovery);
+    Program predecessor(discovery);
     for (int n = 0; n < 2; ++n) {
-        Program fresh(old);
-        fresh.signal(SIGKILL);
-        fresh.exit_code();
-        Socket client = old.client();
-        client.send(get(kPiece));
+        Program successor(predecessor);
+        successor.signal(SIGKILL);
+        successor.exit_code();
+        Socket client = predecessor.client();
+        client.send(get(kDataKey));
         assert(client.value()->text == "v");
-        assert(old.call("POST", "resume").first == 200); // it takes orders again
+        assert(predecessor.call("POST", "resume").first == 200); // it accepts changes again
     }
 }
 
-// Guards against a start that waits for, or believes, whoever else listens there.
+// If another program listens at the handover path and does not answer or sends malformed data, a process must
+// start without waiting for it and without using that data.
 void strangers_are_not_believed() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -176,16 +181,16 @@
             const Program program(discovery, "", kSettings, folder);
             stranger.join();
             Socket client = program.client();
-            client.send(get(kPiece));
+            client.send(get(kDataKey));
             assert(client.value()->text == "v");
-            const Program next(program); // it listens there itself now
+            const Program next(program); // the program itself listens there now
         }
         ::close(fd);
         std::filesystem::remove_all(folder);
     }
 }
 
-// The platform may hold the listening socket: it is told by its number.
+// The platform may own the listening socket and pass its descriptor number in $BALANCER_PASSED_SOCKET.
 void the_platforms_socket_is_used() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
@@ -199,7 +204,7 @@
         program.signal(SIGTERM);
         assert(program.exit_code() == 0);
         Socket client = next.client();
-        client.send(get(kPiece));
+        client.send(get(kDataKey));
         assert(client.value()->text == "v");
     }
     ::unsetenv("BALANCER_PASSED_SOCKET");
