--- a/src/core/endpoint_list.hpp
+++ b/src/core/endpoint_list.hpp
@@ -65,7 +65,7 @@
     /// All listed nodes, without the cordons applied.
     const std::map<NodeId, NodeEntry> &entries() const { return listed_; }
     /// The nodes that are cordoned on this host.
-    const std::set<NodeId> &cordons() const { return host_cordoned_; }
+    const std::set<NodeId> &host_cordons() const { return host_cordoned_; }
     /// The nodes that are cordoned on all hosts.
     const std::set<NodeId> &fleet_cordons() const { return fleet_cordoned_; }
 
--- a/src/core/request_dispatcher.hpp
+++ b/src/core/request_dispatcher.hpp
@@ -67,7 +67,7 @@
     void cap_deadlines(Micros time) { latest_deadline_ = time; }
 
     /// Whether the node is listed or has an attempt in flight.
-    bool knows(NodeId node) const { return scheduler_.concurrency_limit(node).has_value(); }
+    bool is_known_node(NodeId node) const { return scheduler_.concurrency_limit(node).has_value(); }
     bool is_avoided(NodeId node) const { return scheduler_.is_avoided(node); }
     OverloadMetrics overload() const { return scheduler_.overload(); }
     /// The number of requests whose clients wait for an answer.
--- a/src/net/endpoint_registry.cpp
+++ b/src/net/endpoint_registry.cpp
@@ -47,7 +47,7 @@
     if (endpoints_.is_cordoned(node) || endpoints_.is_listed(node))
         return true;
     return std::any_of(dispatchers_.begin(), dispatchers_.end(),
-                       [&](const auto &dispatcher) { return dispatcher->knows(node); });
+                       [&](const auto &dispatcher) { return dispatcher->is_known_node(node); });
 }
 
 void EndpointRegistry::notify_dispatchers(ListUpdate update) {
@@ -108,7 +108,7 @@
     state.revision = revision_;
     for (const auto &[node, entry] : endpoints_.entries())
         state.nodes.push_back({entry, addresses_.at(node)});
-    state.cordons = endpoints_.cordons();
+    state.cordons = endpoints_.host_cordons();
     state.fleet_cordons = endpoints_.fleet_cordons();
     for (const auto &dispatcher : dispatchers_)
         state.dispatchers.push_back(dispatcher->handover_state());
