--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -21,8 +21,8 @@
 using Json::Value;
 using namespace config;
 
-// The number of a class or plan by its name; -1: none.
-template <typename Rows> int numbered(const Rows &rows, const std::string &name) {
+// The index of a class or plan by its name; -1 if there is none.
+template <typename Rows> int index_of(const Rows &rows, const std::string &name) {
     const auto at = std::find_if(rows.begin(), rows.end(), [&](const auto &row) { return row.name == name; });
     return at == rows.end() ? -1 : static_cast<int>(at - rows.begin());
 }
@@ -43,7 +43,7 @@
 std::string unbase64(const std::string &text) {
     std::string bytes;
     std::uint32_t bits = 0;
-    int held = 0;
+    int bit_count = 0;
     for (const char c : text) {
         if (c == '=')
             break;
@@ -56,18 +56,19 @@
         if (digit < 0)
             throw std::runtime_error("malformed base64");
         bits = bits << 6 | static_cast<std::uint32_t>(digit);
-        held += 6;
-        if (held >= 8)
-            bytes += static_cast<char>(bits >> (held -= 8) & 0xff);
+        bit_count += 6;
+        if (bit_count >= 8)
+            bytes += static_cast<char>(bits >> (bit_count -= 8) & 0xff);
     }
     return bytes;
 }
 
-// us until a watch that failed is opened anew: each call is work for discovery, which serves all instances.
-constexpr Micros kAskAgain = 1'500'000, kLongestAskAgain = 6'000'000;
-constexpr auto kWatchTimer = "watch"; // the module's own timers are numbers
+// Delays before a failed watch is opened again. Each call is work for discovery, which serves all instances.
+constexpr Micros kMinWatchDelay = 1'500'000, kMaxWatchDelay = 6'000'000;
+constexpr auto kWatchTimer = "watch"; // the names of the scheduler's timers are numbers
 
-// One instance: its scheduler and the names that it knows things by.
+// One simulated broker: its scheduler, and the tables between the simulator's names and the scheduler's
+// numbers.
 struct Instance {
     Names nodes, zones;
     Settings settings;
@@ -75,8 +76,8 @@
     std::unordered_map<std::uint64_t, std::string> handles;
     std::uint64_t next_request = 1;
     std::optional<Scheduler> scheduler;
-    bool broken = false;
-    core::Backoff backoff{kAskAgain, kLongestAskAgain, 0}; // until a watch that failed is opened anew
+    bool faulted = false;
+    core::Backoff backoff{kMinWatchDelay, kMaxWatchDelay, 0}; // for opening a failed watch again
 };
 
 class Link {
@@ -84,31 +85,32 @@
     explicit Link(std::ostream &out) : out_(out) {}
 
     void event(const Value &message, const std::string &kind) {
-        if (kind == wire::kRoster) {
+        if (kind == wire::kEndpointList) {
             lists_[static_cast<int>(need_integer(message, "ref"))] = need(message, "rows");
             return;
         }
-        const auto inst = need_integer(message, wire::kInstance);
-        if (kind == wire::kBoot) {
-            Instance fresh;
+        const auto instance_id = need_integer(message, wire::kInstance);
+        if (kind == wire::kStart) {
+            Instance instance;
             try {
-                fresh.settings = read_settings(
+                instance.settings = read_settings(
                     need(message, "params"), static_cast<std::uint64_t>(integer_or(message, "init_seed", 0)));
-                fresh.scheduler.emplace(fresh.settings);
-                const Micros most = fresh.settings.list_poll_interval > 0 ? fresh.settings.list_poll_interval
-                                                                          : kLongestAskAgain;
-                fresh.backoff = core::Backoff(std::min(kAskAgain, most), std::min(kLongestAskAgain, most),
-                                              fresh.settings.seed);
-                if (fresh.settings.poll_endpoint_list)
-                    watch(inst);
+                instance.scheduler.emplace(instance.settings);
+                const Micros max_delay = instance.settings.list_poll_interval > 0
+                                             ? instance.settings.list_poll_interval
+                                             : kMaxWatchDelay;
+                instance.backoff = core::Backoff(std::min(kMinWatchDelay, max_delay),
+                                                 std::min(kMaxWatchDelay, max_delay), instance.settings.seed);
+                if (instance.settings.poll_endpoint_list)
+                    watch(instance_id);
             } catch (const std::invalid_argument &error) {
-                give_in(inst, error.what());
-                fresh.broken = true;
+                report_fault(instance_id, error.what());
+                instance.faulted = true;
             }
-            instances_.insert_or_assign(inst, std::move(fresh));
+            instances_.insert_or_assign(instance_id, std::move(instance));
             return;
         }
-        const auto found = instances_.find(inst);
+        const auto found = instances_.find(instance_id);
         if (found == instances_.end())
             throw std::runtime_error("event '" + kind + "' for an instance that was not started");
         if (kind == wire::kStop) {
@@ -117,26 +119,26 @@
         }
         Instance &to = found->second;
         const std::optional<Event> translated = translate(to, message, kind);
-        if (!translated || to.broken)
+        if (!translated || to.faulted)
             return;
         actions_.clear();
         try {
             to.scheduler->handle(now, *translated, actions_);
         } catch (const std::exception &error) {
-            give_in(inst, error.what());
-            to.broken = true;
+            report_fault(instance_id, error.what());
+            to.faulted = true;
             return;
         }
         for (const Action &action : actions_)
-            std::visit([&](const auto &a) { write(inst, to, a); }, action);
-        if (kind == wire::kOutcome || kind == wire::kLeft)
+            std::visit([&](const auto &a) { write(instance_id, to, a); }, action);
+        if (kind == wire::kAttemptEnded || kind == wire::kClientDisconnected)
             forget(to, need_text(message, "handle"));
     }
 
     void reply() {
         Value end(Json::objectValue);
         end[wire::kTag] = wire::kReplyEnd;
-        line(end);
+        write_line(end);
         out_ << reply_.str() << std::flush;
         reply_.str("");
     }
@@ -145,7 +147,7 @@
 
 private:
     std::optional<Event> translate(Instance &to, const Value &m, const std::string &kind) {
-        if (kind == wire::kUpdate)
+        if (kind == wire::kListUpdate)
             return update(to, m);
         if (kind == wire::kRequest)
             return request(to, m);
@@ -156,25 +158,25 @@
             watch(need_integer(m, wire::kInstance));
             return std::nullopt;
         }
-        if (kind == wire::kPeer)
+        if (kind == wire::kPeerMessage)
             return PeerMessage{static_cast<int>(need_integer(m, "neighbour")),
                                unbase64(need_text(m, "body"))};
-        if (kind == wire::kProbed) {
+        if (kind == wire::kProbeEnded) {
             const auto node = to.nodes.find(need_text(m, "server"));
             if (!node)
                 return std::nullopt;
             return ProbeEnded{NodeId{*node}, status(m), time_or(m, "took", 0), report(m)};
         }
-        if (kind != wire::kOutcome && kind != wire::kFirst && kind != wire::kLeft)
+        if (kind != wire::kAttemptEnded && kind != wire::kStreamStarted && kind != wire::kClientDisconnected)
             throw std::runtime_error("unknown message '" + kind + "'");
         const auto known = to.requests.find(need_text(m, "handle"));
-        if (kind == wire::kLeft) {
+        if (kind == wire::kClientDisconnected) {
             if (known == to.requests.end())
                 return std::nullopt;
             return ClientDisconnected{known->second};
         }
         const int attempt = static_cast<int>(need_integer(m, "copy"));
-        if (kind == wire::kFirst) {
+        if (kind == wire::kStreamStarted) {
             if (known == to.requests.end())
                 return std::nullopt;
             return StreamStarted{known->second, attempt};
@@ -194,20 +196,20 @@
     }
 
     std::optional<Event> update(Instance &to, const Value &m) {
-        if (need_text(m, "form") == wire::kFailed) { // the old list holds
+        if (need_text(m, "form") == wire::kListFailed) { // the last list stays in use
             Value timer = action(need_integer(m, wire::kInstance), wire::kSetTimer);
             timer["name"] = kWatchTimer;
             timer["from_now"] = ms(to.backoff.next());
-            line(timer);
+            write_line(timer);
             return std::nullopt;
         }
         ListUpdate list;
-        list.kind = word(wire::kForm, need_text(m, "form"), "form of list");
+        list.kind = word(wire::kListKind, need_text(m, "form"), "form of list");
         if (list.kind != ListUpdate::Kind::Saved)
             to.backoff.reset();
         const auto rows = lists_.find(static_cast<int>(need_integer(m, "ref")));
         if (rows == lists_.end())
-            throw std::runtime_error("list that was not given");
+            throw std::runtime_error("unknown list reference");
         for (const Value &row : rows->second) {
             list.entries.push_back(read_entry(row, wire::kEntry, to.nodes, to.zones));
         }
@@ -217,13 +219,13 @@
     std::optional<Event> request(Instance &to, const Value &m) {
         RequestArrived r;
         const auto handle = need_text(m, "handle");
-        r.cls = numbered(to.settings.classes, need_text(m, "category"));
-        r.plan = numbered(to.settings.plans, need_text(m, "contract"));
+        r.cls = index_of(to.settings.classes, need_text(m, "category"));
+        r.plan = index_of(to.settings.plans, need_text(m, "contract"));
         if (r.cls < 0 || r.plan < 0)
             throw std::runtime_error("request of an unknown class or plan");
         r.id = RequestId{to.next_request++};
         if (!to.requests.try_emplace(handle, r.id).second)
-            throw std::runtime_error("request id given twice");
+            throw std::runtime_error("duplicate request id");
         to.handles.emplace(static_cast<std::uint64_t>(r.id), handle);
         r.time_left = need_time(m, "time_left");
         r.volume = VolumeId{static_cast<std::uint64_t>(integer_or(m, "owner", 0))};
@@ -256,7 +258,7 @@
         return word(wire::kStatus, need_text(m, "disposition"), "outcome");
     }
 
-    // A handle is kept for as long as its scheduler can make something of it.
+    // Removes a request's handle unless the scheduler still tracks the request.
     static void forget(Instance &at, const std::string &handle) {
         const auto known = at.requests.find(handle);
         if (known == at.requests.end() || at.scheduler->tracks(known->second))
@@ -265,7 +267,7 @@
         at.requests.erase(known);
     }
 
-    void line(const Value &value) {
+    void write_line(const Value &value) {
         static const auto writer = [] {
             Json::StreamWriterBuilder builder;
             builder["indentation"] = "";
@@ -275,15 +277,15 @@
         writer->write(value, &reply_);
         reply_ << '\n';
     }
-    void give_in(std::int64_t inst, const char *text) {
-        Value out = action(inst, wire::kFault);
+    void report_fault(std::int64_t instance_id, const char *text) {
+        Value out = action(instance_id, wire::kFault);
         out["reason_text"] = text;
-        line(out);
+        write_line(out);
     }
-    static Value action(std::int64_t inst, const char *kind) {
+    static Value action(std::int64_t instance_id, const char *kind) {
         Value out(Json::objectValue);
         out[wire::kTag] = kind;
-        out[wire::kInstance] = Json::Int64(inst);
+        out[wire::kInstance] = Json::Int64(instance_id);
         return out;
     }
     static double ms(Micros t) { return static_cast<double>(t) / 1000; }
@@ -294,68 +296,68 @@
         return from.nodes.text(static_cast<std::uint32_t>(id));
     }
 
-    void write(std::int64_t inst, Instance &from, const Send &a) {
-        Value out = action(inst, wire::kSend);
+    void write(std::int64_t instance_id, Instance &from, const Send &a) {
+        Value out = action(instance_id, wire::kSend);
         out["handle"] = handle(from, a.id);
         out["server"] = server(from, a.node);
         if (a.expires > 0)
             out["expire_at"] = ms(a.expires);
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &from, const Refuse &a) {
-        Value out = action(inst, wire::kRefuse);
+    void write(std::int64_t instance_id, Instance &from, const Refuse &a) {
+        Value out = action(instance_id, wire::kRefuse);
         const std::string name = handle(from, a.id);
         out["handle"] = name;
         if (a.retry_after > 0)
             out["come_back"] = ms(a.retry_after);
-        line(out);
+        write_line(out);
         forget(from, name);
     }
-    void write(std::int64_t inst, Instance &from, const Fail &a) {
-        Value out = action(inst, wire::kFail);
+    void write(std::int64_t instance_id, Instance &from, const Fail &a) {
+        Value out = action(instance_id, wire::kFail);
         const std::string name = handle(from, a.id);
         out["handle"] = name;
-        line(out);
+        write_line(out);
         forget(from, name);
     }
-    void write(std::int64_t inst, Instance &from, const Cancel &a) {
-        Value out = action(inst, wire::kCancel);
+    void write(std::int64_t instance_id, Instance &from, const Cancel &a) {
+        Value out = action(instance_id, wire::kCancel);
         out["handle"] = handle(from, a.id);
         out["copy"] = a.attempt;
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &from, const Probe &a) {
-        Value out = action(inst, wire::kProbe);
+    void write(std::int64_t instance_id, Instance &from, const Probe &a) {
+        Value out = action(instance_id, wire::kProbe);
         out["server"] = server(from, a.node);
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &from, const CloseIdle &a) {
-        Value out = action(inst, wire::kClose);
+    void write(std::int64_t instance_id, Instance &from, const CloseIdle &a) {
+        Value out = action(instance_id, wire::kCloseIdle);
         out["server"] = server(from, a.node);
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &, const SetTimer &a) {
-        Value out = action(inst, wire::kSetTimer);
+    void write(std::int64_t instance_id, Instance &, const SetTimer &a) {
+        Value out = action(instance_id, wire::kSetTimer);
         out["name"] = std::to_string(a.token);
         out["from_now"] = ms(a.delay);
-        line(out);
+        write_line(out);
     }
-    void watch(std::int64_t inst) {
-        Value out = action(inst, wire::kWatch);
+    void watch(std::int64_t instance_id) {
+        Value out = action(instance_id, wire::kWatchList);
         out["enable"] = true;
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &, const SendPeerMessage &a) {
-        Value out = action(inst, wire::kTell);
+    void write(std::int64_t instance_id, Instance &, const SendPeerMessage &a) {
+        Value out = action(instance_id, wire::kSendPeerMessage);
         if (a.peer)
             out["neighbour_id"] = *a.peer;
         out["body"] = base64(a.data);
-        line(out);
+        write_line(out);
     }
-    void write(std::int64_t inst, Instance &, const Log &a) {
-        Value out = action(inst, wire::kLog);
+    void write(std::int64_t instance_id, Instance &, const Log &a) {
+        Value out = action(instance_id, wire::kLog);
         out["reason_text"] = a.text;
-        line(out);
+        write_line(out);
     }
 
     std::ostream &out_;
--- a/src/benchlink/link.hpp
+++ b/src/benchlink/link.hpp
@@ -1,13 +1,14 @@
-// The adapter's loop: reads batches of the bench's wire, hosts one Scheduler for each instance, writes
-// replies.
+/// \file
+/// The adapter between the simulator and the scheduler: reads batches of events, runs one Scheduler for each
+/// simulated broker, and writes the resulting actions as replies.
 #pragma once
 
 #include <iosfwd>
 
 namespace marblewood::benchlink {
 
-// Returns at the end of the input. Throws std::runtime_error with a plain message where the input is
-// malformed; what has been written by then is whole replies.
+/// Returns at the end of the input. Throws std::runtime_error, whose message names the line, if the input is
+/// malformed; the output then ends with a complete reply.
 void run(std::istream &in, std::ostream &out);
 
 } // namespace marblewood::benchlink
--- a/src/benchlink/wire.hpp
+++ b/src/benchlink/wire.hpp
@@ -1,4 +1,5 @@
-// The vocabulary of the bench's wire, in one place.
+/// \file
+/// The message and field names of the simulator's protocol.
 #pragma once
 
 #include "config/decode.hpp"
@@ -9,14 +10,16 @@
 inline constexpr auto kBatch = "Sync", kBatchEnd = "YourTurn", kReplyEnd = "Ready";
 
 // Events.
-inline constexpr auto kRoster = "Roster", kBoot = "Boot", kStop = "CrashNow", kUpdate = "Update";
-inline constexpr auto kRequest = "WorkItem", kOutcome = "Verdict", kFirst = "Flowing", kLeft = "Left";
-inline constexpr auto kTimer = "Timer", kProbed = "ProbeResult", kPeer = "Inbox";
+inline constexpr auto kEndpointList = "Roster", kStart = "Boot", kStop = "CrashNow", kListUpdate = "Update";
+inline constexpr auto kRequest = "WorkItem", kAttemptEnded = "Verdict", kStreamStarted = "Flowing",
+                      kClientDisconnected = "Left";
+inline constexpr auto kTimer = "Timer", kProbeEnded = "ProbeResult", kPeerMessage = "Inbox";
 
 // Actions.
 inline constexpr auto kSend = "CallOut", kRefuse = "Decline", kFail = "RespondError", kCancel = "Abandon";
-inline constexpr auto kProbe = "Touch", kClose = "HangUp", kSetTimer = "WakeMe", kWatch = "StreamChanges";
-inline constexpr auto kTell = "Say", kLog = "Record", kFault = "GiveIn";
+inline constexpr auto kProbe = "Touch", kCloseIdle = "HangUp", kSetTimer = "WakeMe",
+                      kWatchList = "StreamChanges";
+inline constexpr auto kSendPeerMessage = "Say", kLog = "Record", kFault = "GiveIn";
 
 using config::Words;
 
@@ -35,9 +38,10 @@
     "condition",
     "boot_time",
     {{{"Ready", NodeState::Ready}, {"Terminating", NodeState::Draining}, {"Gone", NodeState::Gone}}}};
-inline constexpr auto kFailed = "FAILED"; // a form that bears no list: a call failed, or the watch ended
-inline constexpr Words<ListUpdate::Kind, 3> kForm{{{"INCREMENTAL", ListUpdate::Kind::Changes},
-                                                   {"FULL", ListUpdate::Kind::Full},
-                                                   {"SAVED", ListUpdate::Kind::Saved}}};
+/// The form of a list update without a list: a call failed, or the watch ended.
+inline constexpr auto kListFailed = "FAILED";
+inline constexpr Words<ListUpdate::Kind, 3> kListKind{{{"INCREMENTAL", ListUpdate::Kind::Changes},
+                                                       {"FULL", ListUpdate::Kind::Full},
+                                                       {"SAVED", ListUpdate::Kind::Saved}}};
 
 } // namespace marblewood::benchlink::wire
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,5 @@
-// "host:port" as the configuration and lists write it. There is no name service: hosts are literal addresses.
+/// \file
+/// Parses "host:port" as in the configuration and endpoint lists.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -9,6 +10,8 @@
 
 namespace marblewood::net {
 
+/// Empty if `text` is malformed. Hosts are IP addresses, as names are not resolved; an IPv6 address may stand
+/// in brackets.
 template <typename Endpoint> std::optional<Endpoint> endpoint(std::string_view text) {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos)
@@ -18,10 +21,10 @@
         host = host.substr(1, host.size() - 2);
     const std::string_view digits = text.substr(colon + 1);
     std::uint16_t port = 0;
-    const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
+    const auto [end, port_error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(host, error);
-    if (error || bad != std::errc() || end != digits.data() + digits.size())
+    if (error || port_error != std::errc() || end != digits.data() + digits.size())
         return std::nullopt;
     return Endpoint(address, port);
 }
--- a/src/net/descriptor.hpp
+++ b/src/net/descriptor.hpp
@@ -1,4 +1,5 @@
-// A file descriptor that is closed with its holder.
+/// \file
+/// An owned file descriptor, closed when its owner is destroyed.
 #pragma once
 
 #include <unistd.h>
--- a/src/net/endpoint_registry.cpp
+++ b/src/net/endpoint_registry.cpp
@@ -28,7 +28,7 @@
     ports_.set(node, nvme_port_);
 }
 
-// Guards against growth without bound where nodes are replaced for as long as the process runs.
+// Without this the tables would grow without bound if nodes are replaced throughout the life of the process.
 void EndpointRegistry::forget_removed_nodes() {
     names_.forget_if([&](std::uint32_t number) {
         const NodeId node{number};
@@ -42,7 +42,7 @@
     });
 }
 
-// A cordoned node is kept, so that it stays cordoned if it is listed again.
+// A cordoned node counts as in use, so that it stays cordoned if it is listed again.
 bool EndpointRegistry::is_in_use(NodeId node) const {
     if (endpoints_.is_cordoned(node) || endpoints_.is_listed(node))
         return true;
--- a/src/net/endpoint_registry.hpp
+++ b/src/net/endpoint_registry.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The nodes as the whole program knows them: what discovery reports and operators change reaches the node
-/// ports and the dispatchers from here.
+/// The broker's set of nodes. It applies the changes that discovery reports and operators make, and passes
+/// them on to the node ports and the dispatchers.
 #pragma once
 
 #include "core/endpoint_list.hpp"
@@ -13,7 +13,7 @@
 
 namespace marblewood::net {
 
-/// Used on the event loop's thread. What it is given by reference outlives it.
+/// Used on the event loop's thread. The objects passed by reference must outlive the registry.
 class EndpointRegistry {
 public:
     using Dispatchers = std::vector<std::unique_ptr<core::RequestDispatcher>>;
@@ -28,29 +28,30 @@
     /// Applies a list, or changes of it, from discovery or from storage.
     void apply(const discovery::ListResponse &list);
 
-    /// From now on dispatchers get only nodes that `allows` accepts. To be called again whenever its answers
-    /// may have changed.
+    /// Passes only nodes that `allows` accepts on to the dispatchers from now on. Must be called again
+    /// whenever the results of `allows` may have changed.
     void set_node_filter(NodeFilter allows);
 
-    /// An operator takes a node out of use here, or puts it back. False: no node has the id.
+    /// Cordons a node on this broker for an operator, or ends that. False if no node has the id.
     bool cordon(const std::string &id);
     bool uncordon(const std::string &id);
-    /// The nodes that are out of use on all brokers, by id, known here or not; replaces those given before.
+    /// Replaces the set of nodes that are cordoned on all brokers, by id. This broker need not know the
+    /// nodes.
     void set_fleet_cordons(const std::set<std::string> &ids);
 
-    /// The state for a successor in a hot restart: the list, cordons, and what the dispatchers hand over.
+    /// The state for the successor process in a hot restart: the endpoint list, the cordons, and the
+    /// dispatchers' handover state.
     Json::Value handover_state() const;
-    /// Takes over a parent process's state. Throws config::Error, with nothing changed, where it cannot be
-    /// read.
+    /// Applies the parent process's state. Throws config::Error and changes nothing if the state is invalid.
     void restore(const Json::Value &state);
-    /// A successor has the state: only requests already accepted are still sent. With `draining` false the
-    /// successor has ended, and this process serves again.
+    /// With `draining` true a successor process has the state, and the dispatchers send only requests already
+    /// accepted. With `draining` false the successor has exited, and this process serves requests again.
     void drain_for_successor(bool draining);
 
     std::size_t size() const { return endpoints_.entries().size(); }
-    std::size_t ready_nodes() const;   ///< which dispatchers know and may send to
-    std::size_t avoided_nodes() const; ///< listed, and cordoned or avoided by a dispatcher
-    std::size_t open_requests() const; ///< which still owe a final answer
+    std::size_t ready_nodes() const;   ///< nodes that dispatchers know and may send to
+    std::size_t avoided_nodes() const; ///< listed nodes that are cordoned or that a dispatcher avoids
+    std::size_t open_requests() const; ///< requests without a final answer
 
 private:
     std::optional<NodeId> find(const std::string &id) const;
@@ -70,7 +71,7 @@
     core::EndpointList endpoints_;
     NodeFilter allows_;
     std::map<NodeId, std::string> addresses_; ///< "host:port", as listed
-    std::int64_t revision_ = 0;               ///< of the list
+    std::int64_t revision_ = 0;               ///< of the endpoint list
 };
 
 } // namespace marblewood::net
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,6 @@
-// HTTP/1.1, parsed by hand and bounded: a client that has one exchange at a time on a connection, for
-// discovery and telemetry, and the requests that the control address takes.
+/// \file
+/// A bounded HTTP/1.1 parser: responses for the clients of discovery and telemetry, which have one exchange
+/// at a time on a connection, and requests for the control address.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -12,25 +13,25 @@
 struct Response {
     int status = 0;
     std::string body;
-    bool keep = true;                       // the connection may carry a further exchange
-    std::optional<std::string> retry_after; // the header's text
-    std::size_t wire_bytes = 0;             // that it took up on the connection
+    bool keep = true;                       ///< the connection may carry a further exchange
+    std::optional<std::string> retry_after; ///< the value of the Retry-After header, as received
+    std::size_t wire_bytes = 0;             ///< the response's length on the connection
 };
 
 struct Request {
     std::string method, target, body;
-    std::size_t wire_bytes = 0; // that it takes up at the front of what was read
+    std::size_t wire_bytes = 0; ///< the request's length in the input
 };
-// Reads a request off the front of `in`, which it leaves as it is. Empty while it is not whole. Throws
-// std::runtime_error where it is malformed or too large.
+/// Parses the request at the front of `in`, which stays unchanged. Empty while the request is incomplete.
+/// Throws std::runtime_error if it is malformed or too large.
 std::optional<Request> read_request(const std::string &in);
 
-// Reads one response off the front of `in`, taking it out. Empty while it is not whole. Throws
-// std::runtime_error where it is malformed or too large. `ended`: the peer has closed.
+/// Parses the response at the front of `in` and removes it. Empty while the response is incomplete. Throws
+/// std::runtime_error if it is malformed or too large. `ended`: the peer has closed the connection.
 std::optional<Response> take(std::string &in, bool ended);
 
-// Sends a request and awaits the response until the time given; empty on any failure, after which the
-// connection is closed.
+/// Sends a request and waits for the response until `until` (Unix time). Empty on any failure, after which
+/// the connection is closed.
 asio::awaitable<std::optional<Response>> exchange(tcp::socket &socket, std::string request, Micros until,
                                                   core::Deadlines &deadlines);
 
--- a/src/net/nvme/node_port.cpp
+++ b/src/net/nvme/node_port.cpp
@@ -11,18 +11,24 @@
 namespace marblewood::net::nvme {
 namespace {
 
-constexpr Micros kDial = 250'000;          // us for an association to come up, where the settings do not say
-constexpr Micros kAbortWithin = 2'000'000; // us for an aborted command to be completed; else all is given up
-constexpr Micros kKeepAlive = 5'000'000;   // us between keep-alives, and for the answer to one
-constexpr Micros kGap = 100'000; // us of silence in a PDU that has begun, after which it does not go on
-constexpr std::size_t kChunk = 16 * 1024; // bytes of one H2CData, so that a cancel can stop half-way
-constexpr std::uint16_t kEntries = 128;
-
-struct Up {};
-struct Down {};
-struct Stop {};
-using Event = std::variant<Up, Down, Stop, Completion>;
-using Mail = core::Mailbox<Event>;
+constexpr Micros kDefaultConnectTimeout = 250'000;
+// An association is closed if an aborted command is not completed within this time.
+constexpr Micros kAbortTimeout = 2'000'000;
+// The time between keep-alive commands, and the timeout of each.
+constexpr Micros kKeepAliveInterval = 5'000'000;
+// How long a node may send nothing within a PDU before the connection is closed.
+constexpr Micros kSilenceTimeout = 100'000;
+// The data of one H2CData PDU. It is small, so that a cancelled write stops before all of its data is sent.
+constexpr std::size_t kDataPduBytes = 16 * 1024;
+constexpr std::uint16_t kQueueEntries = 128;
+
+// What an attempt or probe waits for: its association is ready or lost, it was stopped, or its command is
+// completed.
+struct AssociationReady {};
+struct AssociationLost {};
+struct Stopped {};
+using Event = std::variant<AssociationReady, AssociationLost, Stopped, Completion>;
+using EventMailbox = core::Mailbox<Event>;
 
 } // namespace
 
@@ -31,207 +37,217 @@
         return Status::Ok;
     if (s.code == status::kNotReady || s.code == status::kPathInaccessible ||
         s.code == status::kPathTransition)
-        return Status::Rejected; // turned away before it ran
+        return Status::Rejected; // the node rejected the command without running it
     return Status::Error;
 }
 
-// One queue's connection: PDUs out in order, PDUs in one at a time.
+// The connection of one queue.
 class Queue {
 public:
-    struct Out {              // a command that has no completion yet; its identifier is not used again before
-        Mail *mail = nullptr; // null: given up
-        std::string body, read;
-        std::function<void()> written;     // called with its last byte
-        bool begun = false, whole = false; // its first, its last byte is written
-        core::Deadlines::Entry patience;
+    // A command without a completion. Its identifier is not used again before the completion.
+    struct PendingCommand {
+        EventMailbox *mailbox = nullptr;                   // null: abandoned
+        std::string body, data_read;                       // data of a Write; data received for a Read
+        std::function<void()> on_written;                  // called once `fully_written` is set
+        bool write_started = false, fully_written = false; // the writing has started; all bytes are written
+        core::Deadlines::Entry abort_timer;                // runs once the command is abandoned
     };
-    struct Chunk {
+    // An encoded PDU that waits to be written.
+    struct OutgoingPdu {
         std::string bytes;
         std::uint16_t cid;
-        bool last;
-        std::function<bool()> gate; // asked just before it is written
+        bool completes_command;          // the command is fully written once this PDU is written
+        std::function<bool()> may_write; // called just before the PDU is written; false: it must not be
     };
 
     explicit Queue(asio::any_io_executor executor) : socket(std::move(executor)) {}
 
-    // An identifier that no command bears, a given-up one included.
-    std::optional<std::uint16_t> take_id() {
-        if (out.size() >= kEntries - 1)
+    // An identifier that no command uses, not even an abandoned one. Empty if the queue is full.
+    std::optional<std::uint16_t> unused_command_id() {
+        if (pending.size() >= kQueueEntries - 1)
             return std::nullopt;
         do
-            last_id_ = static_cast<std::uint16_t>((last_id_ + 1) % 0xfff0);
-        while (out.count(last_id_));
-        return last_id_;
+            last_command_id_ = static_cast<std::uint16_t>((last_command_id_ + 1) % 0xfff0);
+        while (pending.count(last_command_id_));
+        return last_command_id_;
     }
 
     tcp::socket socket;
     SocketBudget::Lease lease;
-    std::string in;
-    std::map<std::uint16_t, Out> out;
-    std::deque<Chunk> chunks;
+    std::string received;
+    std::map<std::uint16_t, PendingCommand> pending;
+    std::deque<OutgoingPdu> outgoing_pdus;
     bool writing = false;
 
 private:
-    std::uint16_t last_id_ = 0;
+    std::uint16_t last_command_id_ = 0;
 };
 
+// The two queues of one node, which are connected on demand.
 class Association : public std::enable_shared_from_this<Association> {
 public:
     Association(asio::any_io_executor executor, core::Deadlines &deadlines, SocketBudget &budget,
-                tcp::endpoint at, NodeMapping mapping, std::uint32_t block_bytes, Micros patience)
+                tcp::endpoint at, NodeMapping mapping, std::uint32_t block_bytes, Micros connect_timeout)
         : address(at), mapping_(std::move(mapping)), executor_(std::move(executor)), deadlines_(deadlines),
-          budget_(budget), block_bytes_(block_bytes), patience_(patience) {}
-
-    // Puts Up into the mail once the association stands, Down if it does not come to.
-    void want(Mail &mail) {
-        if (admin_ && up_)
-            return mail.put(Up{});
-        waiting.insert(&mail);
+          budget_(budget), block_bytes_(block_bytes), connect_timeout_(connect_timeout) {}
+
+    // Puts AssociationReady into the mailbox once the association is established, or AssociationLost if that
+    // fails.
+    void notify_when_ready(EventMailbox &mailbox) {
+        if (admin_ && ready_)
+            return mailbox.put(AssociationReady{});
+        waiting_mailboxes.insert(&mailbox);
         if (!connecting_)
             asio::co_spawn(executor_, establish(shared_from_this()), asio::detached);
         connecting_ = true;
     }
 
-    std::optional<std::uint16_t> issue(Mail &mail, Command command, std::string body,
-                                       std::function<bool()> gate, std::function<void()> written) {
-        const auto cid = io_->take_id();
+    // Queues an I/O command. Empty if the queue is full; else the command's identifier.
+    std::optional<std::uint16_t> issue(EventMailbox &mailbox, Command command, std::string body,
+                                       std::function<bool()> may_write, std::function<void()> on_written) {
+        const auto cid = io_->unused_command_id();
         if (!cid)
             return std::nullopt;
         set(command.bytes, 2, *cid);
-        Queue::Out &out = io_->out[*cid];
-        out.mail = &mail;
-        out.body = std::move(body);
-        out.written = std::move(written);
-        const bool last = out.body.empty(); // a Write may run once its data is there, not before
-        put(io_, {command.capsule(), *cid, last, std::move(gate)});
+        Queue::PendingCommand &pending_command = io_->pending[*cid];
+        pending_command.mailbox = &mailbox;
+        pending_command.body = std::move(body);
+        pending_command.on_written = std::move(on_written);
+        // A Write cannot run before its data is sent.
+        const bool completes_command = pending_command.body.empty();
+        enqueue(io_, {command.capsule(), *cid, completes_command, std::move(may_write)});
         return cid;
     }
 
-    // The attempt's command will have no more listener. It is aborted if any of it went out, and bears its
-    // identifier until the node completes it; data that comes for it meanwhile is discarded.
-    void give_up(std::uint16_t cid) {
-        if (!up_)
+    // Abandons a command whose attempt has ended. If any part of it was written, it is aborted; it then keeps
+    // its identifier until the node completes it, and data received for it is discarded.
+    void abandon(std::uint16_t cid) {
+        if (!ready_)
             return;
-        const auto it = io_->out.find(cid);
-        if (it == io_->out.end())
+        const auto it = io_->pending.find(cid);
+        if (it == io_->pending.end())
             return;
-        std::erase_if(io_->chunks, [&](const Queue::Chunk &c) { return c.cid == cid; });
-        if (!it->second.begun) {
-            io_->out.erase(it);
+        std::erase_if(io_->outgoing_pdus, [&](const Queue::OutgoingPdu &pdu) { return pdu.cid == cid; });
+        if (!it->second.write_started) {
+            io_->pending.erase(it);
             return;
         }
-        it->second.mail = nullptr;
-        it->second.read.clear();
-        it->second.patience =
-            deadlines_.in(kAbortWithin, [this] { drop("an aborted command is not completed"); });
+        it->second.mailbox = nullptr;
+        it->second.data_read.clear();
+        it->second.abort_timer = deadlines_.in(
+            kAbortTimeout, [this] { close_connections("aborted command not completed in time"); });
         Command abort = Command::make(op::kAbort, 0);
         abort.set_dword(10, static_cast<std::uint32_t>(1 | cid << 16));
-        admin_command(std::move(abort), nullptr);
+        send_admin_command(std::move(abort), nullptr);
     }
 
-    bool admin_command(Command command, Mail *mail) {
-        const auto cid = admin_ ? admin_->take_id() : std::nullopt;
+    bool send_admin_command(Command command, EventMailbox *mailbox) {
+        const auto cid = admin_ ? admin_->unused_command_id() : std::nullopt;
         if (!cid)
             return false;
         set(command.bytes, 2, *cid);
-        admin_->out[*cid].mail = mail;
-        put(admin_, {command.capsule(), *cid, true, {}});
+        admin_->pending[*cid].mailbox = mailbox;
+        enqueue(admin_, {command.capsule(), *cid, true, {}});
         return true;
     }
-    void forget(Mail &mail) {
-        waiting.erase(&mail);
+    // Ensures that nothing is put into `mailbox` any more.
+    void forget(EventMailbox &mailbox) {
+        waiting_mailboxes.erase(&mailbox);
         for (const auto &queue : {admin_, io_})
             if (queue)
-                for (auto &[cid, out] : queue->out)
-                    if (out.mail == &mail)
-                        out.mail = nullptr;
+                for (auto &[cid, pending_command] : queue->pending)
+                    if (pending_command.mailbox == &mailbox)
+                        pending_command.mailbox = nullptr;
     }
-    Queue::Out *find(std::uint16_t cid) {
+    Queue::PendingCommand *find(std::uint16_t cid) {
         if (!io_)
             return nullptr;
-        const auto it = io_->out.find(cid);
-        return it == io_->out.end() ? nullptr : &it->second;
+        const auto it = io_->pending.find(cid);
+        return it == io_->pending.end() ? nullptr : &it->second;
     }
-    void finished(std::uint16_t cid) {
+    void remove_command(std::uint16_t cid) {
         if (io_)
-            io_->out.erase(cid);
+            io_->pending.erase(cid);
     }
-    bool idle() const { return !io_ || io_->out.empty(); }
+    bool idle() const { return !io_ || io_->pending.empty(); }
 
-    // Ends the connections. What was out is told so; whether it may have run, its Out says.
-    void drop(const char *why) {
+    // Closes the connections and notifies all waiting attempts and probes. was_fully_written() still tells
+    // which commands may have run. Logs `reason` unless it is null.
+    void close_connections(const char *reason) {
         if (!admin_)
             return;
-        if (why)
-            core::log("nvme node {}:{}: {}", address.address().to_string(), address.port(), why);
-        up_ = false;
+        if (reason)
+            core::log("nvme node {}:{}: {}", address.address().to_string(), address.port(), reason);
+        ready_ = false;
         keep_alive_.reset();
-        std::vector<Mail *> told(waiting.begin(), waiting.end());
-        waiting.clear();
+        std::vector<EventMailbox *> notified(waiting_mailboxes.begin(), waiting_mailboxes.end());
+        waiting_mailboxes.clear();
         boost::system::error_code ignored;
         for (const auto &queue : {admin_, io_}) {
             if (!queue)
                 continue;
-            queue->chunks.clear();
+            queue->outgoing_pdus.clear();
             queue->socket.close(ignored);
-            for (auto &[cid, out] : queue->out)
-                if (out.mail)
-                    told.push_back(out.mail);
+            for (auto &[cid, pending_command] : queue->pending)
+                if (pending_command.mailbox)
+                    notified.push_back(pending_command.mailbox);
         }
-        last_io_ = io_; // run() still looks up what of its command was written
+        closed_io_ = io_; // run() still asks whether its command was fully written
         admin_ = io_ = nullptr;
-        for (Mail *mail : told)
-            mail->put(Down{});
+        for (EventMailbox *mailbox : notified)
+            mailbox->put(AssociationLost{});
     }
-    bool was_whole(std::uint16_t cid) const {
-        const auto &queue = io_ ? io_ : last_io_;
+    bool was_fully_written(std::uint16_t cid) const {
+        const auto &queue = io_ ? io_ : closed_io_;
         if (!queue)
             return false;
-        const auto it = queue->out.find(cid);
-        return it != queue->out.end() && it->second.whole;
+        const auto it = queue->pending.find(cid);
+        return it != queue->pending.end() && it->second.fully_written;
     }
 
     std::uint32_t nsid() const { return mapping_.nsid; }
 
     const tcp::endpoint address;
-    std::set<Mail *> waiting;
+    std::set<EventMailbox *> waiting_mailboxes;
 
 private:
     using QueuePtr = std::shared_ptr<Queue>;
 
-    void put(const QueuePtr &queue, Queue::Chunk chunk) {
-        queue->chunks.push_back(std::move(chunk));
+    void enqueue(const QueuePtr &queue, Queue::OutgoingPdu outgoing_pdu) {
+        queue->outgoing_pdus.push_back(std::move(outgoing_pdu));
         if (!std::exchange(queue->writing, true))
             asio::co_spawn(executor_, write(shared_from_this(), queue), asio::detached);
     }
 
     asio::awaitable<void> write(std::shared_ptr<Association> self, QueuePtr queue) {
-        while (!queue->chunks.empty()) {
-            const Queue::Chunk chunk = std::move(queue->chunks.front());
-            queue->chunks.pop_front();
-            auto out = queue->out.find(chunk.cid);
-            if (chunk.gate && !chunk.gate()) { // too late, or drained meanwhile: not a byte goes out
-                if (out == queue->out.end())
+        while (!queue->outgoing_pdus.empty()) {
+            const Queue::OutgoingPdu outgoing_pdu = std::move(queue->outgoing_pdus.front());
+            queue->outgoing_pdus.pop_front();
+            auto pending_command = queue->pending.find(outgoing_pdu.cid);
+            // Nothing is written if the attempt was stopped, is late, or the node is draining.
+            if (outgoing_pdu.may_write && !outgoing_pdu.may_write()) {
+                if (pending_command == queue->pending.end())
                     continue;
-                Mail *mail = out->second.mail;
-                queue->out.erase(out);
-                if (mail)
-                    mail->put(Stop{});
+                EventMailbox *mailbox = pending_command->second.mailbox;
+                queue->pending.erase(pending_command);
+                if (mailbox)
+                    mailbox->put(Stopped{});
                 continue;
             }
-            if (out != queue->out.end())
-                out->second.begun = true;
+            if (pending_command != queue->pending.end())
+                pending_command->second.write_started = true;
             boost::system::error_code error;
-            const std::size_t written = co_await write_all(queue->socket, chunk.bytes, error);
-            out = queue->out.find(chunk.cid);
-            if (out != queue->out.end() && chunk.last && written == chunk.bytes.size()) {
-                out->second.whole = true;
-                if (out->second.written)
-                    out->second.written();
+            const std::size_t written = co_await write_all(queue->socket, outgoing_pdu.bytes, error);
+            pending_command = queue->pending.find(outgoing_pdu.cid);
+            if (pending_command != queue->pending.end() && outgoing_pdu.completes_command &&
+                written == outgoing_pdu.bytes.size()) {
+                pending_command->second.fully_written = true;
+                if (pending_command->second.on_written)
+                    pending_command->second.on_written();
             }
             if (error) {
                 if (queue == self->admin_ || queue == self->io_)
-                    self->drop(error.message().c_str());
+                    self->close_connections(error.message().c_str());
                 break;
             }
         }
@@ -239,24 +255,24 @@
     }
 
     asio::awaitable<std::optional<Pdu>> receive(QueuePtr queue) {
-        core::Deadlines::Entry limit; // a PDU that has begun and does not go on holds up all behind it
+        core::Deadlines::Entry timer; // an incomplete PDU would block all PDUs after it
         for (;;) {
-            if (auto pdu = take(queue->in))
+            if (auto pdu = take(queue->received))
                 co_return pdu;
-            if (!queue->in.empty())
-                limit = deadlines_.in(kGap, [queue] {
+            if (!queue->received.empty())
+                timer = deadlines_.in(kSilenceTimeout, [queue] {
                     boost::system::error_code ignored;
                     if (queue->socket.available(ignored) == 0)
                         queue->socket.close(ignored);
                 });
-            if (co_await read_more(queue->socket, queue->in))
+            if (co_await read_more(queue->socket, queue->received))
                 co_return std::nullopt;
         }
     }
 
-    // A command of the time before the queue is in use: written, then its completion awaited.
-    asio::awaitable<std::optional<Completion>> ask(QueuePtr queue, Command command, std::string body,
-                                                   std::string *read) {
+    // Sends a command while the queue is being set up, and waits for its completion.
+    asio::awaitable<std::optional<Completion>> execute(QueuePtr queue, Command command, std::string body,
+                                                       std::string *read) {
         const std::string bytes = command.capsule(body);
         boost::system::error_code error;
         co_await write_all(queue->socket, bytes, error);
@@ -274,36 +290,36 @@
         co_return std::nullopt;
     }
 
-    // Brings up one queue; the controller's number, or nothing.
+    // Connects one queue. Returns the controller's identifier; empty on failure.
     asio::awaitable<std::optional<std::uint16_t>> connect(QueuePtr queue, std::uint16_t number,
                                                           std::uint16_t controller, Micros until) {
         const boost::system::error_code error = co_await dial(queue->socket, address, until, deadlines_);
         if (error)
             co_return std::nullopt;
-        const std::string hello = ic_req();
+        const std::string request_pdu = ic_req();
         boost::system::error_code lost;
-        co_await write_all(queue->socket, hello, lost);
+        co_await write_all(queue->socket, request_pdu, lost);
         const std::optional<Pdu> answer = co_await receive(queue);
         if (!answer || answer->type != Type::ICResp)
             co_return std::nullopt;
-        most_data_ = std::max<std::uint32_t>(get<std::uint32_t>(answer->head, 12), 4096);
+        max_h2c_data_bytes_ = std::max<std::uint32_t>(get<std::uint32_t>(answer->head, 12), 4096);
         Command command = Command::make(op::kFabrics, 0xfff0);
         set(command.bytes, 4, op::kConnect);
         command.describe_data(1024, true);
         command.set_dword(10, static_cast<std::uint32_t>(number) << 16);
-        command.set_dword(11, static_cast<std::uint32_t>(kEntries - 1));
-        command.set_dword(12, number == 0 ? static_cast<std::uint32_t>(2 * kKeepAlive / 1000) : 0u);
+        command.set_dword(11, static_cast<std::uint32_t>(kQueueEntries - 1));
+        command.set_dword(12, number == 0 ? static_cast<std::uint32_t>(2 * kKeepAliveInterval / 1000) : 0u);
         std::string data(1024, '\0');
         set(data, 16, controller);
         data.replace(256, mapping_.subsystem.size(), mapping_.subsystem);
         data.replace(512, 33, "nqn.2026-12.net.hanbit:marblewood");
-        const auto done = co_await ask(queue, command, data, nullptr);
+        const auto done = co_await execute(queue, command, data, nullptr);
         if (!done || !done->status.ok())
             co_return std::nullopt;
         co_return static_cast<std::uint16_t>(done->result);
     }
 
-    asio::awaitable<bool> bring_up(Micros until) {
+    asio::awaitable<bool> connect_queues(Micros until) {
         const QueuePtr admin = admin_, io = io_;
         const auto controller = co_await connect(admin, 0, 0xffff, until);
         if (!controller)
@@ -311,35 +327,35 @@
         Command enable = Command::make(op::kFabrics, 0xfff0);
         set(enable.bytes, 4, op::kPropertySet);
         enable.set_dword(11, property::kConfig);
-        enable.set_dword(12, 0x00460001u); // entry sizes, enabled
-        auto done = co_await ask(admin, enable, {}, nullptr);
+        enable.set_dword(12, 0x00460001u); // queue entry sizes; enabled
+        auto done = co_await execute(admin, enable, {}, nullptr);
         if (!done || !done->status.ok())
             co_return false;
-        Command look = Command::make(op::kFabrics, 0xfff0);
-        set(look.bytes, 4, op::kPropertyGet);
-        look.set_dword(11, property::kStatus);
+        Command get_status = Command::make(op::kFabrics, 0xfff0);
+        set(get_status.bytes, 4, op::kPropertyGet);
+        get_status.set_dword(11, property::kStatus);
         do {
-            done = co_await ask(admin, look, {}, nullptr);
+            done = co_await execute(admin, get_status, {}, nullptr);
             if (!done || !done->status.ok() || (done->result & 2))
                 co_return false;
         } while (!(done->result & 1));
         std::string page;
         Command identify = Command::make(op::kIdentify, 0xfff0, mapping_.nsid);
         identify.describe_data(4096, false);
-        done = co_await ask(admin, identify, {}, &page);
+        done = co_await execute(admin, identify, {}, &page);
         if (!done || !done->status.ok() || page.size() != 4096)
             co_return false;
         const auto format = get<std::uint8_t>(page, 26);
         const std::size_t at = 128 + 4 * (format & 0xf);
-        if (get<std::uint16_t>(page, at) != kMetadata || !(format & 0x10) ||
+        if (get<std::uint16_t>(page, at) != kMetadataBytes || !(format & 0x10) ||
             get<std::uint8_t>(page, at + 2) > 16 || 1u << get<std::uint8_t>(page, at + 2) != block_bytes_) {
             core::log(
                 "nvme node {}: its namespace is not of {}-byte blocks with 8 bytes of extended metadata",
                 address.address().to_string(), block_bytes_);
             co_return false;
         }
-        const auto joined = co_await connect(io, 1, *controller, until);
-        co_return joined.has_value();
+        const auto io_controller = co_await connect(io, 1, *controller, until);
+        co_return io_controller.has_value();
     }
 
     asio::awaitable<void> establish(std::shared_ptr<Association> self) {
@@ -347,138 +363,143 @@
         io_ = std::make_shared<Queue>(executor_);
         admin_->lease = budget_.node();
         io_->lease = budget_.node();
-        bool good = false;
+        bool connected = false;
         {
-            const Micros until = deadlines_.clock.now() + patience_;
-            const auto limit = deadlines_.at(until, [this] { drop("does not come up"); });
+            const Micros until = deadlines_.clock.now() + connect_timeout_;
+            const auto timer =
+                deadlines_.at(until, [this] { close_connections("association not established in time"); });
             try {
-                good = co_await bring_up(until);
+                connected = co_await connect_queues(until);
             } catch (const Malformed &error) {
-                core::log("nvme node: {}", error.what());
+                core::log("nvme node: malformed PDU: {}", error.what());
             }
         }
         connecting_ = false;
-        if (!good || !admin_) {
-            drop("not connected");
+        if (!connected || !admin_) {
+            close_connections("not connected");
             co_return;
         }
-        up_ = true;
-        asio::co_spawn(executor_, listen(self, admin_), asio::detached);
-        asio::co_spawn(executor_, listen(self, io_), asio::detached);
+        ready_ = true;
+        asio::co_spawn(executor_, receive_pdus(self, admin_), asio::detached);
+        asio::co_spawn(executor_, receive_pdus(self, io_), asio::detached);
         keep_alive();
-        const std::set<Mail *> told = std::exchange(waiting, {});
-        for (Mail *mail : told)
-            mail->put(Up{});
+        const std::set<EventMailbox *> notified = std::exchange(waiting_mailboxes, {});
+        for (EventMailbox *mailbox : notified)
+            mailbox->put(AssociationReady{});
     }
 
     void keep_alive() {
-        keep_alive_ = deadlines_.in(kKeepAlive, [this] {
+        keep_alive_ = deadlines_.in(kKeepAliveInterval, [this] {
             if (!admin_)
                 return;
-            if (!admin_->out.empty())
-                return drop("no answer to a keep-alive");
-            admin_command(Command::make(op::kKeepAlive, 0), nullptr);
+            if (!admin_->pending.empty())
+                return close_connections("keep-alive timed out");
+            send_admin_command(Command::make(op::kKeepAlive, 0), nullptr);
             keep_alive();
         });
     }
 
-    asio::awaitable<void> listen([[maybe_unused]] std::shared_ptr<Association> self, QueuePtr queue) {
-        const char *why = "connection lost";
-        std::string goodbye;
+    asio::awaitable<void> receive_pdus([[maybe_unused]] std::shared_ptr<Association> self, QueuePtr queue) {
+        const char *reason = "connection lost";
+        std::string termination;
         try {
             for (;;) {
                 const std::optional<Pdu> pdu = co_await receive(queue);
                 if (!pdu)
                     break;
                 if (pdu->type == Type::C2HTermReq) {
-                    why = "it ended the connection";
+                    reason = "node terminated the connection";
                     break;
                 }
-                heed(queue, *pdu);
+                handle_pdu(queue, *pdu);
             }
         } catch (const Malformed &error) {
-            why = "malformed PDU";
-            goodbye = term_req(Type::H2CTermReq, error);
+            reason = "malformed PDU";
+            termination = term_req(Type::H2CTermReq, error);
         }
-        if (!goodbye.empty()) { // it learns why, if it still listens
+        if (!termination.empty()) { // tells the node the reason, if it still reads
             boost::system::error_code ignored;
             queue->socket.non_blocking(true, ignored);
-            queue->socket.write_some(asio::buffer(goodbye), ignored);
+            queue->socket.write_some(asio::buffer(termination), ignored);
         }
         if (queue == admin_ || queue == io_)
-            drop(why);
+            close_connections(reason);
     }
 
-    void heed(const QueuePtr &queue, const Pdu &pdu) {
-        const auto wrong = [&](Fatal fatal, const char *what) { return Malformed(fatal, what, pdu.head); };
+    void handle_pdu(const QueuePtr &queue, const Pdu &pdu) {
+        const auto malformed = [&](Fatal fatal, const char *what) {
+            return Malformed(fatal, what, pdu.head);
+        };
         if (pdu.type == Type::Response)
-            return complete(queue, Completion::read(pdu));
+            return handle_completion(queue, Completion::read(pdu));
         if (queue != io_ || (pdu.type != Type::C2HData && pdu.type != Type::R2T))
-            throw wrong(Fatal::Sequence, "unexpected PDU");
-        const auto it = queue->out.find(get<std::uint16_t>(pdu.head, 8));
-        if (it == queue->out.end())
-            throw wrong(Fatal::HeaderField, "no such command");
-        Queue::Out &out = it->second;
+            throw malformed(Fatal::Sequence, "unexpected PDU");
+        const auto it = queue->pending.find(get<std::uint16_t>(pdu.head, 8));
+        if (it == queue->pending.end())
+            throw malformed(Fatal::HeaderField, "unknown command identifier");
+        Queue::PendingCommand &pending_command = it->second;
         const auto offset = get<std::uint32_t>(pdu.head, 12), length = get<std::uint32_t>(pdu.head, 16);
-        const std::size_t block = block_bytes_ + kMetadata;
+        const std::size_t block = block_bytes_ + kMetadataBytes;
         if (pdu.type == Type::C2HData) {
             if (length != pdu.data.size() || offset > block || length > block - offset)
-                throw wrong(Fatal::OutOfRange, "data out of range");
-            if (out.mail) { // else given up: late data is discarded
-                if (offset != out.read.size())
-                    throw wrong(Fatal::OutOfRange, "data out of order");
-                out.read += pdu.data;
+                throw malformed(Fatal::OutOfRange, "data out of range");
+            if (pending_command.mailbox) { // data for an abandoned command is discarded
+                if (offset != pending_command.data_read.size())
+                    throw malformed(Fatal::OutOfRange, "data out of order");
+                pending_command.data_read += pdu.data;
             }
             if (pdu.flags & kSuccess) {
                 Completion done;
                 done.cid = it->first;
-                complete(queue, done);
+                handle_completion(queue, done);
             }
             return;
         }
-        if (!out.mail)
-            return; // aborted: its completion will come without the data
-        if (offset > out.body.size() || length > out.body.size() - offset || length == 0)
-            throw wrong(Fatal::OutOfRange, "R2T out of range");
+        if (!pending_command.mailbox)
+            return; // the command was aborted and is completed without its data
+        if (offset > pending_command.body.size() || length > pending_command.body.size() - offset ||
+            length == 0)
+            throw malformed(Fatal::OutOfRange, "R2T out of range");
         const auto tag = get<std::uint16_t>(pdu.head, 10);
-        const std::size_t step = std::min<std::size_t>(kChunk, most_data_), end = offset + length;
-        for (std::size_t at = offset; at < end; at += step) {
-            const std::size_t size = std::min(step, end - at);
-            const std::string_view bytes = std::string_view(out.body).substr(at, size);
-            put(queue,
-                {data(Type::H2CData, it->first, tag, static_cast<std::uint32_t>(at), bytes, at + size == end),
-                 it->first,
-                 at + size == out.body.size(),
-                 {}});
+        const std::size_t max_part_bytes = std::min<std::size_t>(kDataPduBytes, max_h2c_data_bytes_),
+                          end = offset + length;
+        for (std::size_t at = offset; at < end; at += max_part_bytes) {
+            const std::size_t size = std::min(max_part_bytes, end - at);
+            const std::string_view bytes = std::string_view(pending_command.body).substr(at, size);
+            enqueue(queue, {data(Type::H2CData, it->first, tag, static_cast<std::uint32_t>(at), bytes,
+                                 at + size == end),
+                            it->first,
+                            at + size == pending_command.body.size(),
+                            {}});
         }
     }
 
-    void complete(const QueuePtr &queue, const Completion &done) {
-        const auto it = queue->out.find(done.cid);
-        if (it == queue->out.end())
-            throw Malformed(Fatal::HeaderField, "completion of no command");
-        if (it->second.mail && queue == io_)
-            return it->second.mail->put(done); // run() takes its data and ends it
-        if (it->second.mail)
-            it->second.mail->put(done);
-        queue->out.erase(it);
+    void handle_completion(const QueuePtr &queue, const Completion &done) {
+        const auto it = queue->pending.find(done.cid);
+        if (it == queue->pending.end())
+            throw Malformed(Fatal::HeaderField, "completion of an unknown command");
+        if (it->second.mailbox && queue == io_)
+            return it->second.mailbox->put(done); // run() reads the command's data and then removes it
+        if (it->second.mailbox)
+            it->second.mailbox->put(done);
+        queue->pending.erase(it);
     }
 
     NodeMapping mapping_;
     asio::any_io_executor executor_;
     core::Deadlines &deadlines_;
     SocketBudget &budget_;
-    std::uint32_t block_bytes_, most_data_ = 4096;
-    Micros patience_;
-    QueuePtr admin_, io_, last_io_;
-    bool up_ = false, connecting_ = false;
+    std::uint32_t block_bytes_, max_h2c_data_bytes_ = 4096;
+    Micros connect_timeout_;
+    QueuePtr admin_, io_, closed_io_;
+    bool ready_ = false, connecting_ = false;
     core::Deadlines::Entry keep_alive_;
 };
 
 NodePort::NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, SocketBudget &budget,
                    const Settings &settings, std::uint32_t block_bytes)
     : executor_(std::move(executor)), deadlines_(deadlines), budget_(budget),
-      connect_timeout_(settings.connect_timeout > 0 ? settings.connect_timeout : kDial),
+      connect_timeout_(settings.connect_timeout > 0 ? settings.connect_timeout : kDefaultConnectTimeout),
       block_bytes_(block_bytes) {}
 
 void NodePort::place(NodeId node, const tcp::endpoint &address, const NodeMapping &mapping) {
@@ -486,7 +507,7 @@
     if (at && at->address == address)
         return;
     if (at)
-        at->drop("it has moved");
+        at->close_connections("address changed");
     at = std::make_shared<Association>(executor_, deadlines_, budget_, address, mapping, block_bytes_,
                                        connect_timeout_);
 }
@@ -495,13 +516,13 @@
     const auto at = associations_.find(node);
     if (at == associations_.end())
         return;
-    at->second->drop("it is gone");
+    at->second->close_connections("node removed");
     associations_.erase(at);
 }
 
 void NodePort::close_idle(NodeId node) {
     if (const auto at = associations_.find(node); at != associations_.end() && at->second->idle())
-        at->second->drop(nullptr);
+        at->second->close_connections(nullptr);
 }
 
 asio::awaitable<core::AttemptResult> NodePort::run(std::shared_ptr<core::Attempt> attempt) {
@@ -510,52 +531,54 @@
     const core::Request &request = *attempt->request;
     std::uint64_t block = 0;
     const char *const last = request.data_key.data() + request.data_key.size();
-    const bool named = std::from_chars(request.data_key.data(), last, block, 16).ptr == last;
-    if (at == associations_.end() || !named || request.body.size() > block_bytes_) {
-        result.status = Status::ConnectFailed; // nothing that this node could be asked
+    const bool valid_key = std::from_chars(request.data_key.data(), last, block, 16).ptr == last;
+    if (at == associations_.end() || !valid_key || request.body.size() > block_bytes_) {
+        result.status = Status::ConnectFailed; // the request cannot be sent to this node
         co_return result;
     }
     const std::shared_ptr<Association> node = at->second;
-    Mail mail(executor_);
-    attempt->on_stop = [&mail] { mail.put(Stop{}); };
+    EventMailbox mailbox(executor_);
+    attempt->on_stop = [&mailbox] { mailbox.put(Stopped{}); };
 
-    // The association must stand.
-    node->want(mail);
-    Event event = co_await mail.take();
-    if (!std::holds_alternative<Up>(event) || attempt->stop_reason) {
+    // Wait for the association.
+    node->notify_when_ready(mailbox);
+    Event event = co_await mailbox.take();
+    if (!std::holds_alternative<AssociationReady>(event) || attempt->stop_reason) {
         attempt->on_stop = nullptr;
-        node->forget(mail);
+        node->forget(mailbox);
         result.status = attempt->status_when_interrupted(false);
         co_return result;
     }
 
-    // One command. It may have run once the last byte that it needs is written: its data's, for a Write.
+    // Send one command. It may have run once it is fully written, including the data of a Write.
     Command command = Command::make(request.arrival.write ? op::kWrite : op::kRead, 0, node->nsid());
     command.set_dword(10, block);
-    command.describe_data(static_cast<std::uint32_t>(block_bytes_ + kMetadata), false);
+    command.describe_data(static_cast<std::uint32_t>(block_bytes_ + kMetadataBytes), false);
     std::string body;
     if (request.arrival.write) {
         body = request.body;
-        body.resize(block_bytes_ + kMetadata, '\0');
+        body.resize(block_bytes_ + kMetadataBytes, '\0');
         set<std::uint64_t>(body, block_bytes_, request.body.size());
     }
     const auto cid = node->issue(
-        mail, command, std::move(body), [attempt] { return !attempt->stop_reason && attempt->may_write(); },
+        mailbox, command, std::move(body),
+        [attempt] { return !attempt->stop_reason && attempt->may_write(); },
         [attempt] { attempt->on_written(); });
     if (!cid) {
         attempt->on_stop = nullptr;
-        result.status = Status::Superseded; // more out than the queue holds
+        result.status = Status::Superseded; // the queue is full
         co_return result;
     }
-    event = co_await mail.take();
+    event = co_await mailbox.take();
     attempt->on_stop = nullptr;
     if (const auto *done = std::get_if<Completion>(&event)) {
         result.status = read_status(done->status);
-        if (Queue::Out *out = node->find(*cid)) {
+        if (Queue::PendingCommand *pending_command = node->find(*cid)) {
             if (result.status == Status::Ok && !request.arrival.write) {
-                const std::string &read = out->read;
-                const std::uint64_t length =
-                    read.size() == block_bytes_ + kMetadata ? get<std::uint64_t>(read, block_bytes_) : ~0ull;
+                const std::string &read = pending_command->data_read;
+                const std::uint64_t length = read.size() == block_bytes_ + kMetadataBytes
+                                                 ? get<std::uint64_t>(read, block_bytes_)
+                                                 : ~0ull;
                 if (length <= block_bytes_)
                     result.value = read.substr(0, length);
                 else
@@ -564,15 +587,16 @@
                 result.value = "OK";
             }
         }
-        node->finished(*cid);
-    } else if (std::holds_alternative<Stop>(event)) {
-        const bool gated = !node->find(*cid) && !attempt->stop_reason;
-        result.status = gated ? Status::Superseded : attempt->status_when_interrupted(node->was_whole(*cid));
-        node->give_up(*cid);
+        node->remove_command(*cid);
+    } else if (std::holds_alternative<Stopped>(event)) {
+        const bool write_refused = !node->find(*cid) && !attempt->stop_reason;
+        result.status = write_refused ? Status::Superseded
+                                      : attempt->status_when_interrupted(node->was_fully_written(*cid));
+        node->abandon(*cid);
     } else {
-        result.status = attempt->status_when_interrupted(node->was_whole(*cid));
+        result.status = attempt->status_when_interrupted(node->was_fully_written(*cid));
     }
-    node->forget(mail);
+    node->forget(mailbox);
     co_return result;
 }
 
@@ -583,17 +607,18 @@
     if (at == associations_.end())
         co_return result;
     const std::shared_ptr<Association> node = at->second;
-    Mail mail(executor_);
-    const auto limit = deadlines_.in(2 * connect_timeout_, [&mail] { mail.put(Stop{}); });
-    node->want(mail);
-    Event event = co_await mail.take();
-    if (std::holds_alternative<Up>(event) && node->admin_command(Command::make(op::kKeepAlive, 0), &mail)) {
-        event = co_await mail.take();
+    EventMailbox mailbox(executor_);
+    const auto timer = deadlines_.in(2 * connect_timeout_, [&mailbox] { mailbox.put(Stopped{}); });
+    node->notify_when_ready(mailbox);
+    Event event = co_await mailbox.take();
+    if (std::holds_alternative<AssociationReady>(event) &&
+        node->send_admin_command(Command::make(op::kKeepAlive, 0), &mailbox)) {
+        event = co_await mailbox.take();
         result.status = std::holds_alternative<Completion>(event) ? Status::Ok
-                        : std::holds_alternative<Stop>(event)     ? Status::Timeout
+                        : std::holds_alternative<Stopped>(event)  ? Status::Timeout
                                                                   : Status::Reset;
     }
-    node->forget(mail);
+    node->forget(mailbox);
     co_return result;
 }
 
--- a/src/net/nvme/node_port.hpp
+++ b/src/net/nvme/node_port.hpp
@@ -1,8 +1,10 @@
-// Runs attempts at nodes that speak NVMe/TCP: one association (an admin and an I/O queue) with each.
-//
-// A piece of data is one block of the node's namespace, at the logical block that the piece's 16 hexadecimal
-// digits name. The block carries 8 bytes of metadata behind it (an extended logical block), which hold the
-// value's length, so that a value of any size up to a block comes back as it was.
+/// \file
+/// Runs attempts at nodes that speak NVMe/TCP, over one association (an admin queue and an I/O queue) with
+/// each node.
+///
+/// A data object is one block of the node's namespace; its key, 16 hexadecimal digits, is the logical block
+/// address. The block is followed by 8 bytes of metadata (an extended logical block), which hold the length
+/// of the value, so that a read returns a value of any size up to a block unchanged.
 #pragma once
 
 #include "core/mailbox.hpp"
@@ -16,7 +18,7 @@
 
 namespace marblewood::net::nvme {
 
-inline constexpr std::size_t kMetadata = 8;
+inline constexpr std::size_t kMetadataBytes = 8;
 
 class Association;
 
@@ -24,8 +26,10 @@
 public:
     NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, SocketBudget &budget,
              const Settings &settings, std::uint32_t block_bytes);
+    /// Sets or changes the address of a node.
     void place(NodeId node, const tcp::endpoint &address, const NodeMapping &mapping);
-    void forget(NodeId node); // it is gone, and nothing is out there
+    /// Removes a node that is listed no more. It must have no attempt in progress.
+    void forget(NodeId node);
 
     asio::awaitable<core::AttemptResult> run(std::shared_ptr<core::Attempt> attempt) override;
     asio::awaitable<core::ProbeResult> probe(NodeId node) override;
@@ -40,7 +44,7 @@
     std::map<NodeId, std::shared_ptr<Association>> associations_;
 };
 
-// What a completion with an error means for the attempt.
+/// The status of an attempt whose command was completed with `status`.
 Status read_status(const Status16 &status);
 
 } // namespace marblewood::net::nvme
--- a/src/net/nvme/pdu.cpp
+++ b/src/net/nvme/pdu.cpp
@@ -3,9 +3,9 @@
 namespace marblewood::net::nvme {
 namespace {
 
-constexpr std::size_t kCommon = 8; // bytes of the common header
+constexpr std::size_t kCommonHeaderBytes = 8;
 
-// The header's length of each type; 0: not known.
+// The length of the header of each PDU type; 0 if the type is unknown.
 std::size_t head_size(Type type) {
     switch (type) {
     case Type::ICReq:
@@ -31,28 +31,28 @@
 } // namespace
 
 std::optional<Pdu> take(std::string &in) {
-    if (in.size() < kCommon)
+    if (in.size() < kCommonHeaderBytes)
         return std::nullopt;
     const auto type = static_cast<Type>(in[0]);
-    const std::size_t head = head_size(type), told_head = get<std::uint8_t>(in, 2),
+    const std::size_t head = head_size(type), announced_head = get<std::uint8_t>(in, 2),
                       offset = get<std::uint8_t>(in, 3), size = get<std::uint32_t>(in, 4);
-    const auto wrong = [&](const char *what) {
+    const auto malformed = [&](const char *what) {
         return Malformed(Fatal::HeaderField, what,
-                         in.substr(0, std::min(in.size(), std::max(kCommon, head))));
+                         in.substr(0, std::min(in.size(), std::max(kCommonHeaderBytes, head))));
     };
     if (head == 0)
-        throw wrong("unknown type of PDU");
-    if (told_head != head)
-        throw wrong("header length");
+        throw malformed("unknown PDU type");
+    if (announced_head != head)
+        throw malformed("wrong header length");
     if (get<std::uint8_t>(in, 1) & 0x03)
-        throw wrong("digests were not agreed");
+        throw malformed("digests were not negotiated");
     if (size < head || size > head + kMostData + 128)
-        throw wrong("PDU length");
+        throw malformed("PDU length out of range");
     if (size > head && !carries_data(type))
-        throw wrong("PDU carries data");
+        throw malformed("PDU type carries no data");
     const std::size_t data_at = size > head && offset >= head ? offset : head;
     if (data_at > size)
-        throw wrong("data offset");
+        throw malformed("data offset out of range");
     if (in.size() < size)
         return std::nullopt;
     Pdu pdu{type, get<std::uint8_t>(in, 1), in.substr(0, head), in.substr(data_at, size - data_at)};
@@ -103,12 +103,12 @@
 }
 
 Command Command::make(std::uint8_t opcode, std::uint16_t cid, std::uint32_t nsid) {
-    Command c;
-    set(c.bytes, 0, opcode);
-    set<std::uint8_t>(c.bytes, 1, 0x40); // data by a scatter-gather list
-    set(c.bytes, 2, cid);
-    set(c.bytes, 4, nsid);
-    return c;
+    Command command;
+    set(command.bytes, 0, opcode);
+    set<std::uint8_t>(command.bytes, 1, 0x40); // PSDT: the data is described by a scatter-gather list
+    set(command.bytes, 2, cid);
+    set(command.bytes, 4, nsid);
+    return command;
 }
 void Command::describe_data(std::uint32_t length, bool in_capsule) {
     set(bytes, 32, length);
@@ -131,15 +131,15 @@
     return out;
 }
 Completion Completion::read(const Pdu &pdu) {
-    Completion c;
-    c.result = get<std::uint64_t>(pdu.head, 8);
-    c.sq_head = get<std::uint16_t>(pdu.head, 16);
-    c.queue = get<std::uint16_t>(pdu.head, 18);
-    c.cid = get<std::uint16_t>(pdu.head, 20);
+    Completion completion;
+    completion.result = get<std::uint64_t>(pdu.head, 8);
+    completion.sq_head = get<std::uint16_t>(pdu.head, 16);
+    completion.queue = get<std::uint16_t>(pdu.head, 18);
+    completion.cid = get<std::uint16_t>(pdu.head, 20);
     const auto field = get<std::uint16_t>(pdu.head, 22);
-    c.status = {static_cast<std::uint16_t>(field >> 1 & 0x7ff), static_cast<std::uint8_t>(field >> 12 & 3),
-                (field & 0x8000) != 0};
-    return c;
+    completion.status = {static_cast<std::uint16_t>(field >> 1 & 0x7ff),
+                         static_cast<std::uint8_t>(field >> 12 & 3), (field & 0x8000) != 0};
+    return completion;
 }
 
 } // namespace marblewood::net::nvme
--- a/src/net/otlp/exporter.cpp
+++ b/src/net/otlp/exporter.cpp
@@ -9,17 +9,17 @@
 namespace marblewood::net::otlp {
 namespace {
 
-constexpr std::size_t kMostSpans = 4096, kBatch = 512; // queued; in one call
-constexpr Micros kCall = 5'000'000;                    // us for a call
-constexpr Micros kFirstRetry = 500'000, kLastRetry = 8'000'000;
-constexpr int kTries = 5; // of a batch; after that it is dropped
-constexpr std::array<double, 12> kBounds{5, 10, 25, 50, 75, 100, 200, 300, 400, 750, 1500, 2500}; // ms
+constexpr std::size_t kMaxQueuedSpans = 4096, kMaxBatchSpans = 512;
+constexpr Micros kCallTimeout = 5'000'000;
+constexpr Micros kMinRetryDelay = 500'000, kMaxRetryDelay = 8'000'000;
+constexpr int kMaxTries = 5; // a batch is dropped after that
+constexpr std::array<double, 12> kBucketBoundsMs{5, 10, 25, 50, 75, 100, 200, 300, 400, 750, 1500, 2500};
 
-constexpr const char *kOutcomes[] = {"served", "refused", "failed"};
-constexpr const char *kStatuses[] = {"ok",    "error",     "turned_away", "timeout", "connect_failed",
-                                     "reset", "cancelled", "not_sent"};
+constexpr const char *kOutcomeNames[] = {"served", "refused", "failed"};
+constexpr const char *kStatusNames[] = {"ok",    "error",     "turned_away", "timeout", "connect_failed",
+                                        "reset", "cancelled", "not_sent"};
 
-std::uint64_t mix(std::uint64_t x) { // splitmix64
+std::uint64_t splitmix64(std::uint64_t x) {
     x += 0x9e3779b97f4a7c15;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
     x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
@@ -28,9 +28,10 @@
 std::string hex(std::uint64_t id) {
     return fmt::format("{:016x}", id);
 }
+// Nanoseconds as text: OTLP's JSON encodes 64-bit numbers as strings.
 std::string nanos(Micros at) {
     return fmt::format("{}", at * 1000);
-} // 64-bit numbers are texts in OTLP's JSON
+}
 
 Json::Value attribute(const char *key, const std::string &value) {
     Json::Value a;
@@ -54,73 +55,78 @@
     return e;
 }
 
-// Identifiers follow from the request's number, so that an attempt's span finds its request's without a
-// table.
-class Exporter::Watcher : public core::RequestObserver {
+// Records the spans of one dispatcher. Trace and span identifiers are derived from the request's number, so
+// that the span of an attempt can name that of its request without a table.
+class Exporter::SpanRecorder : public core::RequestObserver {
 public:
-    Watcher(Exporter &to, std::uint64_t seed) : to_(to), seed_(seed) {}
+    SpanRecorder(Exporter &exporter, std::uint64_t seed) : exporter_(exporter), seed_(seed) {}
     void attempt_ended(RequestId id, const core::Attempt &a, int number, Status status, Micros from,
                        Micros until) override {
         Span span = begin(id, "attempt", from, until, status != Status::Ok);
-        span.parent = std::exchange(span.id, mix(span.id + static_cast<std::uint64_t>(number) + 1));
-        span.attributes.append(attribute("marblewood.status", kStatuses[static_cast<int>(status)]));
+        span.parent = std::exchange(span.id, splitmix64(span.id + static_cast<std::uint64_t>(number) + 1));
+        span.attributes.append(attribute("marblewood.status", kStatusNames[static_cast<int>(status)]));
         span.attributes.append(
             attribute("marblewood.node", std::to_string(static_cast<std::uint32_t>(a.node))));
-        to_.add(std::move(span));
+        exporter_.add(std::move(span));
     }
     void request_ended(RequestId id, const core::Request &r, const core::Outcome &outcome,
                        Micros until) override {
         const auto kind = static_cast<std::size_t>(outcome.kind);
         Span span = begin(id, "request", r.received_at, until, kind == 2);
-        span.attributes.append(attribute("marblewood.outcome", kOutcomes[kind]));
-        span.attributes.append(attribute("marblewood.class", to_.settings_.classes[r.arrival.cls].name));
-        span.attributes.append(attribute("marblewood.plan", to_.settings_.plans[r.arrival.plan].name));
+        span.attributes.append(attribute("marblewood.outcome", kOutcomeNames[kind]));
+        span.attributes.append(
+            attribute("marblewood.class", exporter_.settings_.classes[r.arrival.cls].name));
+        span.attributes.append(attribute("marblewood.plan", exporter_.settings_.plans[r.arrival.plan].name));
         const double ms = static_cast<double>(until - r.received_at) / 1000;
-        ++to_.buckets_[std::lower_bound(kBounds.begin(), kBounds.end(), ms) - kBounds.begin()];
-        to_.latencies_ += ms;
-        to_.add(std::move(span));
+        ++exporter_.buckets_[std::lower_bound(kBucketBoundsMs.begin(), kBucketBoundsMs.end(), ms) -
+                             kBucketBoundsMs.begin()];
+        exporter_.latency_sum_ms_ += ms;
+        exporter_.add(std::move(span));
     }
 
 private:
     Span begin(RequestId id, const char *name, Micros from, Micros until, bool error) const {
-        const std::uint64_t base = mix(seed_ ^ mix(static_cast<std::uint64_t>(id)));
-        return {{base, mix(base)}, mix(base + 1) | 1, 0, name, from, until, error, Json::arrayValue};
+        const std::uint64_t base = splitmix64(seed_ ^ splitmix64(static_cast<std::uint64_t>(id)));
+        return {{base, splitmix64(base)}, splitmix64(base + 1) | 1, 0, name, from, until, error,
+                Json::arrayValue};
     }
-    Exporter &to_;
+    Exporter &exporter_;
     std::uint64_t seed_;
 };
 
-Exporter::Exporter(asio::io_context &io, core::Deadlines &deadlines, Endpoint to, std::string name,
-                   const Settings &settings, const core::Metrics &figures, std::uint64_t seed)
-    : io_(io), deadlines_(deadlines), to_(std::move(to)), name_(std::move(name)), settings_(settings),
-      seed_(seed), born_(deadlines.clock.now()), figures_(figures), socket_(io) {
-    asio::co_spawn(io_, work(), asio::detached);
+Exporter::Exporter(asio::io_context &io, core::Deadlines &deadlines, Endpoint endpoint,
+                   std::string instance_name, const Settings &settings, const core::Metrics &metrics,
+                   std::uint64_t seed)
+    : io_(io), deadlines_(deadlines), endpoint_(std::move(endpoint)),
+      instance_name_(std::move(instance_name)), settings_(settings), seed_(seed),
+      started_at_(deadlines.clock.now()), metrics_(metrics), socket_(io) {
+    asio::co_spawn(io_, export_repeatedly(), asio::detached);
 }
 
 core::RequestObserver &Exporter::observer() {
-    observers_.push_back(std::make_unique<Watcher>(*this, mix(seed_ + observers_.size())));
+    observers_.push_back(std::make_unique<SpanRecorder>(*this, splitmix64(seed_ + observers_.size())));
     return *observers_.back();
 }
 
 void Exporter::add(Span span) {
-    if (spans_.size() >= kMostSpans)
+    if (spans_.size() >= kMaxQueuedSpans)
         ++dropped_;
     else
         spans_.push_back(std::move(span));
 }
 
-asio::awaitable<void> Exporter::rest(Micros length) {
-    core::Mailbox<bool> over(io_.get_executor());
-    const auto entry = deadlines_.in(length, [&over] { over.put(true); });
-    co_await over.take();
+asio::awaitable<void> Exporter::wait(Micros duration) {
+    core::Mailbox<bool> done(io_.get_executor());
+    const auto entry = deadlines_.in(duration, [&done] { done.put(true); });
+    co_await done.take();
 }
 
-asio::awaitable<void> Exporter::work() {
+asio::awaitable<void> Exporter::export_repeatedly() {
     for (;;) {
-        co_await rest(to_.interval);
+        co_await wait(endpoint_.interval);
         while (!spans_.empty()) {
             std::vector<Span> batch;
-            while (!spans_.empty() && batch.size() < kBatch) {
+            while (!spans_.empty() && batch.size() < kMaxBatchSpans) {
                 batch.push_back(std::move(spans_.front()));
                 spans_.pop_front();
             }
@@ -132,8 +138,8 @@
     }
 }
 
-// As OTLP asks: 429, 502, 503, 504 and lost connections are tried again, after Retry-After where it is given
-// and ever longer otherwise; any other failure is final.
+// As OTLP specifies, status 429, 502, 503 and 504 and lost connections are retried, after the time in
+// Retry-After or else with exponential backoff. Any other failure is final.
 asio::awaitable<bool> Exporter::post(const char *path, const Json::Value &body) {
     Json::StreamWriterBuilder compact;
     compact["indentation"] = "";
@@ -141,41 +147,44 @@
     const std::string request =
         fmt::format("POST {} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\n"
                     "Content-Length: {}\r\n\r\n{}",
-                    path, to_.host, json.size(), json);
-    Micros wait = kFirstRetry;
-    for (int n = 0; n < kTries; ++n) {
+                    path, endpoint_.host, json.size(), json);
+    Micros retry_delay = kMinRetryDelay;
+    for (int n = 0; n < kMaxTries; ++n) {
         boost::system::error_code error;
         if (!socket_.is_open())
-            error = co_await dial(socket_, to_.address, deadlines_.clock.now() + kCall, deadlines_);
-        std::optional<http::Response> answer;
+            error =
+                co_await dial(socket_, endpoint_.address, deadlines_.clock.now() + kCallTimeout, deadlines_);
+        std::optional<http::Response> response;
         if (error)
             socket_.close(error);
         else
-            answer = co_await http::exchange(socket_, request, deadlines_.clock.now() + kCall, deadlines_);
-        if (answer && answer->status >= 200 && answer->status < 300)
+            response =
+                co_await http::exchange(socket_, request, deadlines_.clock.now() + kCallTimeout, deadlines_);
+        if (response && response->status >= 200 && response->status < 300)
             co_return true;
-        Micros pause = wait;
-        if (answer) {
-            const int s = answer->status;
+        Micros pause = retry_delay;
+        if (response) {
+            const int s = response->status;
             if (s != 429 && s != 502 && s != 503 && s != 504) {
                 core::log("otlp: {} answered {}", path, s);
                 co_return false;
             }
-            const long told = answer->retry_after ? std::atol(answer->retry_after->c_str()) : 0;
-            if (told > 0)
-                pause = std::min<Micros>(told, 60) * 1'000'000;
+            const long retry_after_seconds =
+                response->retry_after ? std::atol(response->retry_after->c_str()) : 0;
+            if (retry_after_seconds > 0)
+                pause = std::min<Micros>(retry_after_seconds, 60) * 1'000'000;
         }
-        co_await rest(pause);
-        wait = std::min(2 * wait, kLastRetry);
+        co_await wait(pause);
+        retry_delay = std::min(2 * retry_delay, kMaxRetryDelay);
     }
-    core::log("otlp: {} given up after {} tries", path, kTries);
+    core::log("otlp: {} given up after {} tries", path, kMaxTries);
     co_return false;
 }
 
 Json::Value Exporter::resource() const {
     Json::Value r;
     r["attributes"].append(attribute("service.name", "marblewood"));
-    r["attributes"].append(attribute("service.instance.id", name_));
+    r["attributes"].append(attribute("service.instance.id", instance_name_));
     return r;
 }
 
@@ -190,7 +199,7 @@
         row["name"] = s.name;
         row["kind"] = s.parent ? 3 : 2; // client, server
         row["startTimeUnixNano"] = nanos(s.from);
-        row["endTimeUnixNano"] = nanos(s.to);
+        row["endTimeUnixNano"] = nanos(s.until);
         row["attributes"] = s.attributes;
         if (s.error)
             row["status"]["code"] = 2;
@@ -205,40 +214,40 @@
 }
 
 Json::Value Exporter::metrics() {
-    const std::string from = nanos(born_), now = nanos(deadlines_.clock.now());
-    const auto point = [&](Json::Value &row) {
+    const std::string from = nanos(started_at_), now = nanos(deadlines_.clock.now());
+    const auto set_times = [&](Json::Value &row) {
         row["startTimeUnixNano"] = from;
         row["timeUnixNano"] = now;
     };
     Json::Value requests, latency, dropped;
     requests["name"] = "marblewood.requests";
     requests["unit"] = "{request}";
-    std::uint64_t all = 0;
+    std::uint64_t count = 0;
     for (std::size_t n = 0; n < 3; ++n) {
         Json::Value row;
-        point(row);
-        row["asInt"] = std::to_string(figures_.total(static_cast<core::Outcome::Kind>(n)));
-        row["attributes"].append(attribute("marblewood.outcome", kOutcomes[n]));
+        set_times(row);
+        row["asInt"] = std::to_string(metrics_.total(static_cast<core::Outcome::Kind>(n)));
+        row["attributes"].append(attribute("marblewood.outcome", kOutcomeNames[n]));
         requests["sum"]["dataPoints"].append(row);
-        all += figures_.total(static_cast<core::Outcome::Kind>(n));
+        count += metrics_.total(static_cast<core::Outcome::Kind>(n));
     }
     latency["name"] = "marblewood.request.duration";
     latency["unit"] = "ms";
     Json::Value row;
-    point(row);
-    row["count"] = std::to_string(all);
-    row["sum"] = latencies_;
-    for (const double bound : kBounds)
+    set_times(row);
+    row["count"] = std::to_string(count);
+    row["sum"] = latency_sum_ms_;
+    for (const double bound : kBucketBoundsMs)
         row["explicitBounds"].append(bound);
     for (const std::uint64_t n : buckets_)
         row["bucketCounts"].append(std::to_string(n));
     latency["histogram"]["dataPoints"].append(row);
     latency["histogram"]["aggregationTemporality"] = 2; // cumulative
     dropped["name"] = "marblewood.spans.dropped";
-    Json::Value lost;
-    point(lost);
-    lost["asInt"] = std::to_string(dropped_);
-    dropped["sum"]["dataPoints"].append(lost);
+    Json::Value dropped_point;
+    set_times(dropped_point);
+    dropped_point["asInt"] = std::to_string(dropped_);
+    dropped["sum"]["dataPoints"].append(dropped_point);
     for (Json::Value *sum : {&requests["sum"], &dropped["sum"]}) {
         (*sum)["aggregationTemporality"] = 2;
         (*sum)["isMonotonic"] = true;
--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -1,4 +1,5 @@
-// Connections to nodes, kept for reuse, one user at a time. Shared by the node ports of all wires.
+/// \file
+/// A pool of TCP connections to nodes. Each connection has one user at a time.
 #pragma once
 
 #include "net/sockets.hpp"
@@ -9,91 +10,99 @@
 
 namespace marblewood::net {
 
-struct Wire { // one connection to a node
-    explicit Wire(asio::any_io_executor executor) : socket(std::move(executor)) {}
+/// One TCP connection to a node.
+struct NodeConnection {
+    explicit NodeConnection(asio::any_io_executor executor) : socket(std::move(executor)) {}
     tcp::socket socket;
-    std::string in; // read, not yet taken
+    std::string received; ///< bytes that were read and not parsed yet
     SocketBudget::Lease lease;
-    Micros returned = 0; // when its last user gave it back
-    core::Deadlines::Entry idle_end;
+    Micros returned_at = 0;            ///< when its last user returned it to the pool, Unix time
+    core::Deadlines::Entry idle_timer; ///< closes the connection while it is in the pool
 
     void close() {
         boost::system::error_code ignored;
         socket.close(ignored);
     }
-    // Closes it at the end of the time, unless something has come that is only not read yet.
-    core::Deadlines::Entry expect_more(core::Deadlines &deadlines, Micros within) {
-        return deadlines.in(within, [this] {
+    /// Closes the connection after `timeout`, unless the socket then holds bytes that are not read yet. The
+    /// returned entry cancels this.
+    core::Deadlines::Entry close_if_silent(core::Deadlines &deadlines, Micros timeout) {
+        return deadlines.in(timeout, [this] {
             boost::system::error_code ignored;
             if (socket.available(ignored) == 0)
                 close();
         });
     }
-    // A node may have closed it since its last use. What is written to such a connection may be lost after it
-    // was written whole, so it is looked at before.
-    bool fresh() { return in.empty() && quiet(socket); }
+    /// Whether the node has neither closed the connection nor sent unexpected bytes since the last use.
+    /// Checked before each use, because a request written to a connection that the node has closed can be
+    /// lost even if the write succeeds.
+    bool is_reusable() { return received.empty() && quiet(socket); }
 };
 
+/// The idle connections to all nodes of a node port, and the opening of new ones within the socket budget.
 class Pool {
 public:
     Pool(asio::any_io_executor executor, core::Deadlines &deadlines, SocketBudget &budget, Micros idle_close)
         : executor_(std::move(executor)), deadlines_(deadlines), budget_(budget),
-          keep_(idle_close > 0 ? idle_close * 6 / 10 : 10'000'000) {} // closed well before the node does it
+          idle_timeout_(idle_close > 0 ? idle_close * 6 / 10 : 10'000'000) {
+    } // closes an idle connection well before the node does
 
-    // An idle connection to this address that still stands, or null.
-    std::shared_ptr<Wire> reuse(const tcp::endpoint &to) {
-        for (auto at = idle_.find(to); at != idle_.end(); at = idle_.find(to)) {
-            // The one that has rested the longest: a node that ends a connection after an answer, or sends
-            // more behind it, does so some milliseconds later, and it is seen only once that has come.
-            auto wire = std::move(at->second.front());
-            at->second.pop_front();
-            if (at->second.empty())
-                idle_.erase(at);
-            wire->idle_end.reset();
-            if (wire->fresh())
-                return wire;
+    /// Removes a reusable idle connection to `to` from the pool; null if there is none.
+    std::shared_ptr<NodeConnection> reuse(const tcp::endpoint &to) {
+        for (auto entry = idle_.find(to); entry != idle_.end(); entry = idle_.find(to)) {
+            // Takes the connection that has been idle longest. A node that closes a connection after a
+            // response, or sends further bytes after it, does so some milliseconds later; the longer the
+            // connection was idle, the more likely is_reusable() sees that.
+            auto connection = std::move(entry->second.front());
+            entry->second.pop_front();
+            if (entry->second.empty())
+                idle_.erase(entry);
+            connection->idle_timer.reset();
+            if (connection->is_reusable())
+                return connection;
         }
         return nullptr;
     }
-    // A new one, not connected yet; null where the budget is spent, after an idle one was given up for it.
-    std::shared_ptr<Wire> open() {
+    /// A new, unconnected connection. Closes one idle connection if the budget for node sockets is exhausted;
+    /// null if it still is.
+    std::shared_ptr<NodeConnection> open() {
         if (budget_.nodes_full())
-            drop_one();
+            close_one_idle();
         if (budget_.nodes_full())
             return nullptr;
-        auto wire = std::make_shared<Wire>(executor_);
-        wire->lease = budget_.node();
-        return wire;
+        auto connection = std::make_shared<NodeConnection>(executor_);
+        connection->lease = budget_.node();
+        return connection;
     }
-    void give_back(const tcp::endpoint &to, std::shared_ptr<Wire> wire) {
-        wire->returned = deadlines_.clock.now();
-        wire->idle_end = deadlines_.in(keep_, [this, to, raw = wire.get()] {
-            const auto at = idle_.find(to);
-            if (at == idle_.end())
+    /// Returns a connection to the pool, which closes it if it is not used in time.
+    void give_back(const tcp::endpoint &to, std::shared_ptr<NodeConnection> connection) {
+        connection->returned_at = deadlines_.clock.now();
+        connection->idle_timer = deadlines_.in(idle_timeout_, [this, to, raw = connection.get()] {
+            const auto entry = idle_.find(to);
+            if (entry == idle_.end())
                 return;
-            at->second.remove_if([raw](const auto &w) { return w.get() == raw; });
-            if (at->second.empty())
-                idle_.erase(at);
+            entry->second.remove_if([raw](const auto &idle) { return idle.get() == raw; });
+            if (entry->second.empty())
+                idle_.erase(entry);
         });
-        idle_[to].push_back(std::move(wire));
+        idle_[to].push_back(std::move(connection));
     }
     void close_idle(const tcp::endpoint &to) { idle_.erase(to); }
 
 private:
-    void drop_one() {
+    void close_one_idle() {
         if (idle_.empty())
             return;
-        const auto at = idle_.begin();
-        at->second.pop_front();
-        if (at->second.empty())
-            idle_.erase(at);
+        const auto entry = idle_.begin();
+        entry->second.pop_front();
+        if (entry->second.empty())
+            idle_.erase(entry);
     }
 
     asio::any_io_executor executor_;
     core::Deadlines &deadlines_;
     SocketBudget &budget_;
-    Micros keep_;
-    std::map<tcp::endpoint, std::list<std::shared_ptr<Wire>>> idle_; // no empty list
+    Micros idle_timeout_;
+    std::map<tcp::endpoint, std::list<std::shared_ptr<NodeConnection>>> idle_; ///< holds no empty list
 };
 
 } // namespace marblewood::net
--- a/src/net/registry_state.cpp
+++ b/src/net/registry_state.cpp
@@ -74,7 +74,7 @@
     return list;
 }
 
-/// Checks an id of the list `field`.
+/// Returns `id` as text; throws if it is not a string. `field`: the list that holds it.
 std::string need_id(const Json::Value &id, const char *field) {
     if (!id.isString())
         throw config::Error(fmt::format("field '{}' is not a list of ids", field));
@@ -145,7 +145,7 @@
     decoded.list = discovery::decode_node_list(config::need(state, "list"), nodes, zones);
     for (const Json::Value &id : need_list(state, "cordons"))
         decoded.cordons.push_back(NodeId{nodes.number(need_id(id, "cordons"))});
-    // Versions before fleet cordons hand over none.
+    // Versions without fleet cordons do not write this field.
     const Json::Value fleet_cordons =
         state.isMember("fleet_cordons") ? state["fleet_cordons"] : Json::Value();
     for (const Json::Value &id : fleet_cordons)
--- a/src/net/registry_state.hpp
+++ b/src/net/registry_state.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a broker knows of the nodes, as it is handed to a successor in a hot restart. The JSON's names are
-/// fixed: processes of different versions exchange it (tests/fixtures/hot_restart/).
+/// The JSON encoding of the registry's state, which a process hands to its successor in a hot restart. The
+/// field names are fixed, because processes of different versions exchange it (tests/fixtures/hot_restart/).
 #pragma once
 
 #include "discovery/list_response.hpp"
@@ -12,7 +12,7 @@
 
 namespace marblewood::net {
 
-/// The state to encode. Nodes and zones are named by the caller's tables.
+/// The state to encode. Nodes and zones are numbers of the caller's name tables.
 struct RegistryState {
     struct Node {
         NodeEntry entry;
@@ -30,12 +30,13 @@
     discovery::ListResponse list;
     std::vector<NodeId> cordons;
     std::set<std::string> fleet_cordons; ///< ids
-    HandoverState handover;              ///< for each dispatcher
+    HandoverState handover;              ///< to be restored by every dispatcher
 };
 
 Json::Value encode(const RegistryState &state, const config::Names &nodes, const config::Names &zones);
 
-/// Numbers new names. Throws config::Error naming a field that is missing or wrong.
+/// Adds names that `nodes` and `zones` lack. Throws config::Error, which names the field, if a field is
+/// missing or invalid.
 RestoredRegistryState decode_registry_state(const Json::Value &state, config::Names &nodes,
                                             config::Names &zones);
 
--- a/src/net/resp/node_port.cpp
+++ b/src/net/resp/node_port.cpp
@@ -11,15 +11,19 @@
 namespace marblewood::net::resp {
 namespace {
 
-constexpr Micros kDial = 250'000;  // us for a connection to come up, where the settings do not say
-constexpr Micros kGap = 100'000;   // us of silence in an answer that has begun, after which it does not go on
-constexpr Micros kRest = 5'000;    // the same behind a whole value
-constexpr Micros kSettle = 10'000; // us from a connection's last answer until it is used again
-constexpr Micros kStreamGap =
-    5'000'000; // the same within a long value: its node or the way to it may be slow
+constexpr Micros kDefaultConnectTimeout = 250'000;
 
-// Calls `use` with each name and number of "used=37,cost=4"; what is not of that form is passed over.
-template <typename F> void figures(std::string_view text, F use) {
+// How long a node may send nothing within a response before the connection is closed.
+constexpr Micros kSilenceTimeout = 100'000;
+// The same once the response's value is complete.
+constexpr Micros kSilenceTimeoutAfterValue = 5'000;
+// The time from a connection's last response until it is used again.
+constexpr Micros kReuseDelay = 10'000;
+// As kSilenceTimeout, within a long value, whose node or network path may be slow.
+constexpr Micros kStreamSilenceTimeout = 5'000'000;
+
+// Calls `visit` with each name and number of a text like "used=37,cost=4". Skips items of another form.
+template <typename F> void for_each_figure(std::string_view text, F visit) {
     while (!text.empty()) {
         const std::string_view item = text.substr(0, text.find(','));
         text.remove_prefix(std::min(text.size(), item.size() + 1));
@@ -30,14 +34,14 @@
         const auto [end, error] =
             std::from_chars(item.data() + equals + 1, item.data() + item.size(), number);
         if (error == std::errc() && end == item.data() + item.size())
-            use(item.substr(0, equals), number);
+            visit(item.substr(0, equals), number);
     }
 }
 
 void read_figures(std::string_view text, core::AttemptResult &result) {
-    figures(text, [&](std::string_view name, double number) {
+    for_each_figure(text, [&](std::string_view name, double number) {
         if (name == "used" && number >= 0 && number < 1e9)
-            result.used = 1 + static_cast<int>(number); // the module's figure counts from 1
+            result.used = 1 + static_cast<int>(number); // 0 means that the node did not report it
         else if (name == "cost" && number >= 0 && number < 1e9)
             result.remote_units = number;
         else {
@@ -48,91 +52,98 @@
     });
 }
 
-struct Answer {
+struct Response {
     std::optional<Value> value;
-    bool spoilt = false; // the connection is of no further use
+    bool unusable = false; // the connection must not be used again
 };
 
-// Reads one answer. A value stands once it is whole, whatever follows it: the rest of its array can't take
-// back what has run, and is not waited for long. Nor is an answer that has begun and does not go on. A long
-// value goes into the attempt's stream as it comes, no faster than that is emptied.
-asio::awaitable<Answer> receive(Wire &wire, core::Deadlines &deadlines, core::MemoryBudget &memory,
-                                core::Attempt &attempt) {
-    Answer answer;
+// Reads one response. A complete value is valid whatever follows it: the request has run, and the remaining
+// array elements cannot change that, so they are awaited only briefly. A response that stops half-way is
+// given up after a timeout, too. A long value is put into the attempt's stream as it arrives, no faster than
+// the stream is read.
+asio::awaitable<Response> receive(NodeConnection &connection, core::Deadlines &deadlines,
+                                  core::MemoryBudget &memory, core::Attempt &attempt) {
+    Response response;
     Reader reader(kMostAnswer);
-    core::MemoryBudget::Reservation held(memory);
-    core::Deadlines::Entry limit;
-    while (!answer.value && !answer.spoilt) {
-        if (!reader.between() || !wire.in.empty())
-            limit = wire.expect_more(deadlines, reader.first() ? kRest : attempt.stream ? kStreamGap : kGap);
-        answer.spoilt = bool(
-            co_await read_more(wire.socket, wire.in, attempt.stream ? core::Stream::kBufferBytes : kChunk));
-        std::string_view bytes = wire.in;
+    core::MemoryBudget::Reservation reserved(memory);
+    core::Deadlines::Entry timer;
+    while (!response.value && !response.unusable) {
+        if (!reader.between() || !connection.received.empty())
+            timer = connection.close_if_silent(deadlines, reader.first_element() ? kSilenceTimeoutAfterValue
+                                                          : attempt.stream       ? kStreamSilenceTimeout
+                                                                                 : kSilenceTimeout);
+        response.unusable =
+            bool(co_await read_more(connection.socket, connection.received,
+                                    attempt.stream ? core::Stream::kBufferBytes : kReadChunkBytes));
+        std::string_view bytes = connection.received;
         try {
-            answer.value = reader.take(bytes);
-        } catch (const Malformed &error) { // no guess is made at what such an answer meant
-            core::log("node: {}", error.what());
-            answer.spoilt = true;
+            response.value = reader.take(bytes);
+        } catch (const Malformed &error) { // a malformed response is not interpreted
+            core::log("malformed response from a node: {}", error.what());
+            response.unusable = true;
         }
-        wire.in.erase(0, wire.in.size() - bytes.size());
-        if (const auto length = reader.long_first(); length && !attempt.stream && attempt.begin_stream)
+        connection.received.erase(0, connection.received.size() - bytes.size());
+        if (const auto length = reader.long_first_length(); length && !attempt.stream && attempt.begin_stream)
             attempt.begin_stream(*length);
         if (attempt.stream) {
-            limit.reset();
-            std::string part = answer.value ? std::move(answer.value->elements.front().text) : reader.part();
+            timer.reset();
+            std::string part =
+                response.value ? std::move(response.value->elements.front().text) : reader.take_first_part();
             if (!part.empty())
-                answer.spoilt |= !co_await attempt.stream->put(std::move(part));
-            if (answer.value || reader.first())
+                response.unusable |= !co_await attempt.stream->put(std::move(part));
+            if (response.value || reader.first_element())
                 attempt.stream->finish(true);
         }
-        held.resize(wire.in.size() + (attempt.stream ? 0 : reader.kept()));
+        reserved.resize(connection.received.size() + (attempt.stream ? 0 : reader.kept()));
     }
-    if (!answer.value)
-        if (const std::string *first = reader.first()) {
-            answer.value = Value{Value::Kind::Array, false, {}, {}};
-            answer.value->elements.push_back({Value::Kind::Bulk, false, *first, {}});
+    if (!response.value)
+        if (const std::string *value = reader.first_element()) {
+            response.value = Value{Value::Kind::Array, false, {}, {}};
+            response.value->elements.push_back({Value::Kind::Bulk, false, *value, {}});
         }
     if (attempt.stream)
-        attempt.stream->finish(false); // unless it is whole
-    answer.spoilt |= !wire.in.empty(); // what stands behind an answer belongs to nobody
-    co_return answer;
+        attempt.stream->finish(false);                 // has no effect if the stream has finished already
+    response.unusable |= !connection.received.empty(); // bytes after the response belong to no request
+    co_return response;
 }
 
-// What a node's answer means; false: nothing that a node says, and its connection can't be trusted further.
-bool read_answer(Value &&answer, core::AttemptResult &result, bool of_broker) {
+// Converts a node's response. False if it is not a response that a node may send; its connection must then
+// not be used again.
+bool read_response(Value &&response, core::AttemptResult &result, bool from_broker) {
     const auto text = [](const Value &v) { return v.kind == Value::Kind::Bulk && !v.null; };
-    const auto says = [&](std::string_view word) {
-        return answer.text == word || answer.text.starts_with(std::string(word) + ' ');
+    const auto has_code = [&](std::string_view word) {
+        return response.text == word || response.text.starts_with(std::string(word) + ' ');
     };
-    if (answer.kind == Value::Kind::Array && !answer.elements.empty() && text(answer.elements.front())) {
+    if (response.kind == Value::Kind::Array && !response.elements.empty() &&
+        text(response.elements.front())) {
         result.status = Status::Ok;
-        result.value = std::move(answer.elements.front().text);
-        for (std::size_t n = 1; n < answer.elements.size(); ++n)
-            if (text(answer.elements[n]))
-                read_figures(answer.elements[n].text, result);
+        result.value = std::move(response.elements.front().text);
+        for (std::size_t n = 1; n < response.elements.size(); ++n)
+            if (text(response.elements[n]))
+                read_figures(response.elements[n].text, result);
         return true;
     }
-    if (of_broker && text(answer)) {
+    if (from_broker && text(response)) {
         result.status = Status::Ok;
-        result.value = std::move(answer.text);
+        result.value = std::move(response.text);
         return true;
     }
     result.status = Status::Error;
-    if (answer.kind != Value::Kind::Error)
+    if (response.kind != Value::Kind::Error)
         return false;
-    if (says("BUSY")) {
+    if (has_code("BUSY")) {
         result.status = Status::Rejected;
-        if (of_broker && answer.text.size() > 5)
-            result.retry_after = 1000 * std::clamp(std::atoll(answer.text.c_str() + 5), 0LL, 60'000LL);
+        if (from_broker && response.text.size() > 5)
+            result.retry_after = 1000 * std::clamp(std::atoll(response.text.c_str() + 5), 0LL, 60'000LL);
         return true;
     }
-    std::string_view words = answer.text;
+    std::string_view words = response.text;
     while (!words.empty()) {
-        const std::string_view one = words.substr(0, words.find(' '));
-        words.remove_prefix(std::min(words.size(), one.size() + 1));
-        read_figures(one, result);
+        const std::string_view item = words.substr(0, words.find(' '));
+        words.remove_prefix(std::min(words.size(), item.size() + 1));
+        read_figures(item, result);
     }
-    return says("ERR");
+    return has_code("ERR");
 }
 
 } // namespace
@@ -143,10 +154,10 @@
       pool_(std::move(executor), deadlines, budget, settings.idle_close) {}
 
 void NodePort::place(NodeId node, const tcp::endpoint &address) {
-    const auto [it, fresh] = addresses_.try_emplace(node, address);
-    if (fresh || it->second == address)
+    const auto [it, added] = addresses_.try_emplace(node, address);
+    if (added || it->second == address)
         return;
-    pool_.close_idle(it->second); // it has moved
+    pool_.close_idle(it->second); // the node has another address now
     it->second = address;
 }
 
@@ -154,153 +165,162 @@
     close_idle(node);
     addresses_.erase(node);
 }
-// Where the node has moved or gone meanwhile, nobody would come for the connection.
-void NodePort::give_back(NodeId node, const tcp::endpoint &to, std::shared_ptr<Wire> wire) {
-    if (!wire->socket.is_open())
+
+// Drops the connection if the node was removed or has another address now, because nothing would use it
+// again.
+void NodePort::give_back(NodeId node, const tcp::endpoint &to, std::shared_ptr<NodeConnection> connection) {
+    if (!connection->socket.is_open())
         return;
-    const auto at = addresses_.find(node);
-    std::string().swap(wire->in); // its room, too
-    if (at != addresses_.end() && at->second == to)
-        pool_.give_back(to, std::move(wire));
+    const auto entry = addresses_.find(node);
+    std::string().swap(connection->received); // frees the capacity, too
+    if (entry != addresses_.end() && entry->second == to)
+        pool_.give_back(to, std::move(connection));
 }
 
 void NodePort::close_idle(NodeId node) {
-    if (const auto at = addresses_.find(node); at != addresses_.end())
-        pool_.close_idle(at->second);
+    if (const auto entry = addresses_.find(node); entry != addresses_.end())
+        pool_.close_idle(entry->second);
 }
 
-// Answers bear no number: one that comes twice, the second time some milliseconds late, would be taken for
-// the answer to the next request. So a connection is used again only once nothing more has come for a while.
-asio::awaitable<bool> NodePort::settled(Wire &wire) {
-    const Micros until = wire.returned + kSettle;
+// Waits until kReuseDelay after the connection's last response. False if the connection must not be used
+// again. RESP2 responses carry no request number: if a node sent a response twice, the second time some
+// milliseconds late, it would be taken for the response to the next request. So a connection is reused only
+// after some time of silence.
+asio::awaitable<bool> NodePort::wait_until_reusable(NodeConnection &connection) {
+    const Micros until = connection.returned_at + kReuseDelay;
     if (deadlines_.clock.now() >= until)
         co_return true;
     boost::system::error_code error;
-    const auto limit = deadlines_.at(until, [&wire] {
+    const auto timer = deadlines_.at(until, [&connection] {
         boost::system::error_code ignored;
-        wire.socket.cancel(ignored);
+        connection.socket.cancel(ignored);
     });
-    co_await wire.socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-    co_return error == asio::error::operation_aborted &&wire.socket.is_open() && wire.fresh();
+    co_await connection.socket.async_wait(tcp::socket::wait_read,
+                                          asio::redirect_error(asio::use_awaitable, error));
+    co_return error == asio::error::operation_aborted &&connection.socket.is_open() &&
+        connection.is_reusable();
 }
 
-asio::awaitable<std::shared_ptr<Wire>> NodePort::connect(tcp::endpoint to, core::Attempt &attempt) {
-    std::shared_ptr<Wire> wire;
-    while ((wire = pool_.reuse(to)) != nullptr) {
-        attempt.on_stop = [wire = wire.get()] { wire->close(); };
-        const bool quiet = co_await settled(*wire);
+asio::awaitable<std::shared_ptr<NodeConnection>> NodePort::connect(tcp::endpoint to, core::Attempt &attempt) {
+    std::shared_ptr<NodeConnection> connection;
+    while ((connection = pool_.reuse(to)) != nullptr) {
+        attempt.on_stop = [connection = connection.get()] { connection->close(); };
+        const bool reusable = co_await wait_until_reusable(*connection);
         attempt.on_stop = nullptr;
-        if (quiet || attempt.stop_reason)
-            co_return wire;
-        wire->close();
+        if (reusable || attempt.stop_reason)
+            co_return connection;
+        connection->close();
     }
-    wire = pool_.open();
-    if (!wire)
+    connection = pool_.open();
+    if (!connection)
         co_return nullptr;
-    attempt.on_stop = [wire = wire.get()] { wire->close(); };
-    const Micros wait = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDial;
-    const auto error = co_await dial(wire->socket, to, deadlines_.clock.now() + wait, deadlines_);
+    attempt.on_stop = [connection = connection.get()] { connection->close(); };
+    const Micros timeout = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDefaultConnectTimeout;
+    const auto error = co_await dial(connection->socket, to, deadlines_.clock.now() + timeout, deadlines_);
     attempt.on_stop = nullptr;
-    co_return error ? nullptr : wire;
+    co_return error ? nullptr : connection;
 }
 
 asio::awaitable<core::AttemptResult> NodePort::run(std::shared_ptr<core::Attempt> attempt) {
     core::AttemptResult result;
-    const auto at = addresses_.find(attempt->node);
-    const tcp::endpoint to = at == addresses_.end() ? tcp::endpoint() : at->second;
-    std::shared_ptr<Wire> wire; // no co_await inside a ?: anywhere: g++ 12 frees its temporaries twice
-    if (at != addresses_.end())
-        wire = co_await connect(to, *attempt);
-    if (!wire || attempt->stop_reason) {
-        if (wire)
-            give_back(attempt->node, to, wire);
+    const auto entry = addresses_.find(attempt->node);
+    const tcp::endpoint to = entry == addresses_.end() ? tcp::endpoint() : entry->second;
+    // No co_await inside a conditional operator: g++ 12 destroys its temporaries twice.
+    std::shared_ptr<NodeConnection> connection;
+    if (entry != addresses_.end())
+        connection = co_await connect(to, *attempt);
+    if (!connection || attempt->stop_reason) {
+        if (connection)
+            give_back(attempt->node, to, connection);
         result.status = attempt->status_when_interrupted(false);
         co_return result;
     }
     if (!attempt->may_write()) {
-        give_back(attempt->node, to, wire);
+        give_back(attempt->node, to, connection);
         result.status = Status::Superseded;
         co_return result;
     }
 
-    // From here on the connection is this attempt's; to give up is to close it.
-    attempt->on_stop = [wire = wire.get()] { wire->close(); };
-    const std::string command = spell(*attempt);
+    // From here on the connection carries this attempt's request, so that stopping the attempt has to close
+    // it.
+    attempt->on_stop = [connection = connection.get()] { connection->close(); };
+    const std::string command = encode_command(*attempt);
     boost::system::error_code error;
-    const std::size_t written = co_await write_all(wire->socket, command, error);
-    const bool whole = written == command.size();
-    if (whole)
+    const std::size_t written = co_await write_all(connection->socket, command, error);
+    const bool fully_written = written == command.size();
+    if (fully_written)
         attempt->on_written();
-    Answer answer;
-    if (whole)
-        answer = co_await receive(*wire, deadlines_, memory_, *attempt);
+    Response response;
+    if (fully_written)
+        response = co_await receive(*connection, deadlines_, memory_, *attempt);
     attempt->on_stop = nullptr;
-    if (!answer.value) {
-        wire->close();
-        result.status = attempt->status_when_interrupted(whole);
+    if (!response.value) {
+        connection->close();
+        result.status = attempt->status_when_interrupted(fully_written);
         co_return result;
     }
-    const bool good =
-        read_answer(std::move(*answer.value), result, peers_ == Peers::Brokers) && !answer.spoilt;
-    if (good && wire->socket.is_open())
-        give_back(attempt->node, to, wire);
+    const bool valid =
+        read_response(std::move(*response.value), result, peers_ == Peers::Brokers) && !response.unusable;
+    if (valid && connection->socket.is_open())
+        give_back(attempt->node, to, connection);
     co_return result;
 }
 
-// The client's command again, but for `d`, which tells how long this broker will wait.
-std::string NodePort::spell(const core::Attempt &attempt) const {
-    const core::Request &r = *attempt.request;
-    const RequestArrived &f = r.arrival;
+// Encodes the client's command again, but with the time that this broker will wait as `d`.
+std::string NodePort::encode_command(const core::Attempt &attempt) const {
+    const core::Request &request = *attempt.request;
+    const RequestArrived &arrival = request.arrival;
     const Micros left = std::max<Micros>(attempt.expires_at - deadlines_.clock.now(), 1000);
-    std::string list = fmt::format("c={},t={},d={}", settings_.classes[f.cls].name,
-                                   settings_.plans[f.plan].name, left / 1000);
-    if (!r.idempotency_key.empty())
-        list += ",k=" + r.idempotency_key;
-    if (f.retry)
+    std::string list = fmt::format("c={},t={},d={}", settings_.classes[arrival.cls].name,
+                                   settings_.plans[arrival.plan].name, left / 1000);
+    if (!request.idempotency_key.empty())
+        list += ",k=" + request.idempotency_key;
+    if (arrival.retry)
         list += ",r=1";
-    list += fmt::format(",volume={:016x},units={},shard={},hosts={}", static_cast<std::uint64_t>(f.volume),
-                        f.units, f.shard ? static_cast<std::int64_t>(*f.shard) : -1, f.hosts);
-    for (const auto &[name, value] : r.forwarded_fields)
+    list += fmt::format(",volume={:016x},units={},shard={},hosts={}",
+                        static_cast<std::uint64_t>(arrival.volume), arrival.units,
+                        arrival.shard ? static_cast<std::int64_t>(*arrival.shard) : -1, arrival.hosts);
+    for (const auto &[name, value] : request.forwarded_fields)
         list += "," + name + "=" + value;
-    if (f.write)
-        return command({"OBJ.PUT", r.data_key, r.id, list, r.body});
-    return command({"OBJ.GET", r.data_key, r.id, list});
+    if (arrival.write)
+        return command({"OBJ.PUT", request.data_key, request.id, list, request.body});
+    return command({"OBJ.GET", request.data_key, request.id, list});
 }
 
 asio::awaitable<core::ProbeResult> NodePort::probe(NodeId node) {
     core::ProbeResult result;
-    const auto at = addresses_.find(node);
-    if (at == addresses_.end())
+    const auto entry = addresses_.find(node);
+    if (entry == addresses_.end())
         co_return result;
-    const tcp::endpoint to = at->second;
-    core::Attempt frame; // only for its way to be stopped
-    const Micros wait = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDial;
-    const auto limit = deadlines_.in(wait, [&frame] { frame.stop(Status::Timeout); });
-    const auto wire = co_await connect(to, frame);
+    const tcp::endpoint to = entry->second;
+    core::Attempt probe_attempt; // serves only to stop the probe at its timeout
+    const Micros timeout = settings_.connect_timeout > 0 ? settings_.connect_timeout : kDefaultConnectTimeout;
+    const auto timer = deadlines_.in(timeout, [&probe_attempt] { probe_attempt.stop(Status::Timeout); });
+    const auto connection = co_await connect(to, probe_attempt);
     result.status = Status::ConnectFailed;
-    if (!wire)
+    if (!connection)
         co_return result;
-    frame.on_stop = [wire = wire.get()] { wire->close(); };
-    const std::string ask = command({"INFO", "load"});
+    probe_attempt.on_stop = [connection = connection.get()] { connection->close(); };
+    const std::string request = command({"INFO", "load"});
     boost::system::error_code error;
-    co_await write_all(wire->socket, ask, error);
-    Answer answer;
+    co_await write_all(connection->socket, request, error);
+    Response response;
     if (!error)
-        answer = co_await receive(*wire, deadlines_, memory_, frame);
-    frame.on_stop = nullptr;
-    if (!answer.value) {
-        wire->close();
-        result.status = frame.status_when_interrupted(!error);
+        response = co_await receive(*connection, deadlines_, memory_, probe_attempt);
+    probe_attempt.on_stop = nullptr;
+    if (!response.value) {
+        connection->close();
+        result.status = probe_attempt.status_when_interrupted(!error);
         co_return result;
     }
-    const bool good = answer.value->kind == Value::Kind::Bulk && !answer.value->null;
-    core::AttemptResult told;
-    if (good)
-        read_figures(answer.value->text, told);
-    result.report = told.report;
-    result.status = good ? Status::Ok : Status::Error;
-    if (good && !answer.spoilt && wire->socket.is_open())
-        give_back(node, to, wire);
+    const bool valid = response.value->kind == Value::Kind::Bulk && !response.value->null;
+    core::AttemptResult figures;
+    if (valid)
+        read_figures(response.value->text, figures);
+    result.report = figures.report;
+    result.status = valid ? Status::Ok : Status::Error;
+    if (valid && !response.unusable && connection->socket.is_open())
+        give_back(node, to, connection);
     co_return result;
 }
 
--- a/src/net/resp/node_port.hpp
+++ b/src/net/resp/node_port.hpp
@@ -1,4 +1,5 @@
-// Runs attempts at nodes that speak RESP2, or at other brokers, which answer as clients are answered.
+/// \file
+/// Runs attempts at nodes that speak RESP2, or at other brokers, whose responses are those that clients get.
 #pragma once
 
 #include "core/node_port.hpp"
@@ -8,23 +9,27 @@
 
 namespace marblewood::net::resp {
 
+/// Uses one pooled connection for each attempt.
 class NodePort : public core::NodePort {
 public:
+    /// Whom the port sends requests to.
     enum class Peers { Nodes, Brokers };
     NodePort(asio::any_io_executor executor, core::Deadlines &deadlines, core::MemoryBudget &memory,
              SocketBudget &budget, const Settings &settings, Peers peers = Peers::Nodes);
+    /// Sets or changes the address of a node.
     void place(NodeId node, const tcp::endpoint &address);
-    void forget(NodeId node); // it is gone, and nothing is out there
+    /// Removes a node that is listed no more. It must have no attempt in progress.
+    void forget(NodeId node);
 
     asio::awaitable<core::AttemptResult> run(std::shared_ptr<core::Attempt> attempt) override;
     asio::awaitable<core::ProbeResult> probe(NodeId node) override;
     void close_idle(NodeId node) override;
 
 private:
-    asio::awaitable<bool> settled(Wire &wire); // false: it is of no more use
-    asio::awaitable<std::shared_ptr<Wire>> connect(tcp::endpoint to, core::Attempt &attempt);
-    void give_back(NodeId node, const tcp::endpoint &to, std::shared_ptr<Wire> wire);
-    std::string spell(const core::Attempt &attempt) const;
+    asio::awaitable<bool> wait_until_reusable(NodeConnection &connection);
+    asio::awaitable<std::shared_ptr<NodeConnection>> connect(tcp::endpoint to, core::Attempt &attempt);
+    void give_back(NodeId node, const tcp::endpoint &to, std::shared_ptr<NodeConnection> connection);
+    std::string encode_command(const core::Attempt &attempt) const;
 
     asio::any_io_executor executor_;
     core::Deadlines &deadlines_;
--- a/src/net/resp/parser.cpp
+++ b/src/net/resp/parser.cpp
@@ -9,23 +9,23 @@
 namespace marblewood::net::resp {
 namespace {
 
-std::optional<std::string_view> line(std::string_view &bytes) {
-    const std::size_t end = bytes.substr(0, kMostLine).find("\r\n");
+std::optional<std::string_view> take_line(std::string_view &bytes) {
+    const std::size_t end = bytes.substr(0, kMaxLineBytes).find("\r\n");
     if (end == std::string_view::npos) {
-        if (bytes.size() >= kMostLine)
+        if (bytes.size() >= kMaxLineBytes)
             throw Malformed("line too long");
         return std::nullopt;
     }
-    const std::string_view found = bytes.substr(0, end);
+    const std::string_view line = bytes.substr(0, end);
     bytes.remove_prefix(end + 2);
-    return found;
+    return line;
 }
 
-long count(std::string_view digits, std::size_t most, const char *what) {
+long parse_length(std::string_view digits, std::size_t max, const char *what) {
     long number = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
     if (error != std::errc() || end != digits.data() + digits.size() || number < -1 ||
-        number > static_cast<long>(most))
+        number > static_cast<long>(max))
         throw Malformed(fmt::format("invalid {} length", what));
     return number;
 }
@@ -34,20 +34,20 @@
 
 std::optional<Value> Reader::take(std::string_view &bytes) {
     for (;;) {
-        std::optional<Value> whole;
+        std::optional<Value> message;
         if (bulk_) {
-            const std::string_view part = bytes.substr(0, length_ - got_);
+            const std::string_view part = bytes.substr(0, bulk_length_ - bulk_received_);
             bulk_->text += part;
-            got_ += part.size();
+            bulk_received_ += part.size();
             bytes.remove_prefix(part.size());
-            if (got_ < length_ || bytes.empty())
+            if (bulk_received_ < bulk_length_ || bytes.empty())
                 return std::nullopt;
             if (!std::string_view("\r\n").starts_with(bytes.substr(0, 2)))
                 throw Malformed("bulk string runs on");
             if (bytes.size() < 2)
                 return std::nullopt;
             bytes.remove_prefix(2);
-            whole = ended(std::move(*std::exchange(bulk_, std::nullopt)));
+            message = complete_value(std::move(*std::exchange(bulk_, std::nullopt)));
         } else {
             if (bytes.empty())
                 return std::nullopt;
@@ -55,31 +55,31 @@
             if (std::string_view("+-:$*").find(type) == std::string_view::npos)
                 throw Malformed("unexpected byte");
             std::string_view rest = bytes.substr(1);
-            const auto head = line(rest);
+            const auto head = take_line(rest);
             if (!head)
                 return std::nullopt;
             bytes = rest;
             Value value;
             if (type == '$') {
-                const long size = count(*head, most_, "bulk");
+                const long size = parse_length(*head, max_bulk_bytes_, "bulk");
                 value.null = size < 0;
                 if (size >= 0) {
-                    length_ = static_cast<std::size_t>(size);
-                    if ((size_ += length_) > most_ + kMostBeside)
+                    bulk_length_ = static_cast<std::size_t>(size);
+                    if ((message_bytes_ += bulk_length_) > max_bulk_bytes_ + kMaxOtherBulkBytes)
                         throw Malformed("message too long");
-                    value.text.reserve(std::min(length_, kMostValue));
-                    got_ = 0;
+                    value.text.reserve(std::min(bulk_length_, kMaxClientBulkBytes));
+                    bulk_received_ = 0;
                     bulk_ = std::move(value);
                     continue;
                 }
             } else if (type == '*') {
                 if (array_)
                     throw Malformed("array within an array");
-                const long size = count(*head, kMostElements, "array");
+                const long size = parse_length(*head, kMaxArrayElements, "array");
                 value.kind = Value::Kind::Array;
                 value.null = size < 0;
                 if (size > 0) {
-                    missing_ = static_cast<std::size_t>(size);
+                    elements_missing_ = static_cast<std::size_t>(size);
                     array_ = std::move(value);
                     continue;
                 }
@@ -89,21 +89,22 @@
                                            : Value::Kind::Integer;
                 value.text = *head;
             }
-            whole = ended(std::move(value));
+            message = complete_value(std::move(value));
         }
-        if (whole) {
-            size_ = 0;
-            return whole;
+        if (message) {
+            message_bytes_ = 0;
+            return message;
         }
     }
 }
 
-// A value is whole; with it perhaps the array that it belongs to.
-std::optional<Value> Reader::ended(Value &&value) {
+// Handles a complete value. Returns the message that it completes: the value itself, or the array it belongs
+// to.
+std::optional<Value> Reader::complete_value(Value &&value) {
     if (!array_)
         return std::move(value);
     array_->elements.push_back(std::move(value));
-    if (--missing_ > 0)
+    if (--elements_missing_ > 0)
         return std::nullopt;
     return std::exchange(array_, std::nullopt);
 }
@@ -111,7 +112,7 @@
 std::string Reader::unfinished() const {
     std::string out;
     if (array_) {
-        out = fmt::format("*{}\r\n", array_->elements.size() + missing_);
+        out = fmt::format("*{}\r\n", array_->elements.size() + elements_missing_);
         for (const Value &value : array_->elements) {
             using Kind = Value::Kind;
             if (value.kind == Kind::Bulk && value.null)
@@ -126,22 +127,22 @@
         }
     }
     if (bulk_)
-        out += fmt::format("${}\r\n{}", length_, bulk_->text);
+        out += fmt::format("${}\r\n{}", bulk_length_, bulk_->text);
     return out;
 }
 
-const std::string *Reader::first() const {
+const std::string *Reader::first_element() const {
     if (!array_ || array_->elements.empty())
         return nullptr;
     const Value &value = array_->elements.front();
     return value.kind == Value::Kind::Bulk && !value.null ? &value.text : nullptr;
 }
 
-std::optional<std::size_t> Reader::long_first() const {
-    const bool first = bulk_ && array_ && array_->elements.empty();
-    return first && length_ > kMostValue ? std::optional(length_) : std::nullopt;
+std::optional<std::size_t> Reader::long_first_length() const {
+    const bool in_first = bulk_ && array_ && array_->elements.empty();
+    return in_first && bulk_length_ > kMaxClientBulkBytes ? std::optional(bulk_length_) : std::nullopt;
 }
-std::string Reader::part() {
+std::string Reader::take_first_part() {
     if (bulk_ && array_ && array_->elements.empty())
         return std::exchange(bulk_->text, {});
     return array_ && !array_->elements.empty() ? std::exchange(array_->elements.front().text, {})
--- a/src/net/resp/parser.hpp
+++ b/src/net/resp/parser.hpp
@@ -1,4 +1,5 @@
-// RESP2, read and written.
+/// \file
+/// A bounded, incremental parser and an encoder for RESP2.
 #pragma once
 
 #include <optional>
@@ -9,53 +10,60 @@
 
 namespace marblewood::net::resp {
 
+/// The input is not valid RESP2 or exceeds a limit.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::size_t kMostValue = 64 * 1024;        // bytes of a bulk string of a client
-inline constexpr std::size_t kMostAnswer = 4 * 1024 * 1024; // and of a node: some values are long
-inline constexpr std::size_t kMostLine = 4096;
-inline constexpr std::size_t kMostElements = 16;
-inline constexpr std::size_t kMostBeside = 4 * kMostLine; // bytes of the other bulk strings of a message
+inline constexpr std::size_t kMaxClientBulkBytes = 64 * 1024; ///< of a bulk string from a client
+inline constexpr std::size_t kMostAnswer = 4 * 1024 * 1024;   ///< from a node, whose values can be long
+inline constexpr std::size_t kMaxLineBytes = 4096;
+inline constexpr std::size_t kMaxArrayElements = 16;
+inline constexpr std::size_t kMaxOtherBulkBytes =
+    4 * kMaxLineBytes; ///< of all further bulk strings of a message
 
 struct Value {
     enum class Kind { Simple, Error, Integer, Bulk, Array } kind = Kind::Bulk;
     bool null = false;
-    std::string text; // all but arrays
-    std::vector<Value> elements;
+    std::string text;            ///< unless `kind` is Array
+    std::vector<Value> elements; ///< if `kind` is Array
 };
 
-// Reads messages off a stream of bytes. It keeps what it has read of a message that is not whole yet, so that
-// no byte is looked at again however small the pieces come in; only the start of a line stays with the
-// caller.
+/// Parses messages from a stream of bytes. It keeps the parsed part of an incomplete message, so that no byte
+/// is parsed twice however small the pieces arrive. Only an incomplete line stays in the caller's buffer.
 class Reader {
 public:
-    explicit Reader(std::size_t most_value = kMostValue) : most_(most_value) {}
-    // Takes bytes off the front until a message is whole; nothing where they end before. Throws Malformed as
-    // soon as no further byte can make it right.
+    explicit Reader(std::size_t max_bulk_bytes = kMaxClientBulkBytes) : max_bulk_bytes_(max_bulk_bytes) {}
+    /// Removes bytes from the front until a message is complete; empty if `bytes` ends before that. Throws
+    /// Malformed as soon as no further bytes can make the message valid.
     std::optional<Value> take(std::string_view &bytes);
-    bool between() const { return !array_ && !bulk_; } // no part of a message is kept
-    std::size_t kept() const { return size_; }         // bytes that it has room for
-    // The length of an array's first string, while that comes and is longer than a client's may be. What is
-    // there of it may be taken out from then on.
-    std::optional<std::size_t> long_first() const;
-    std::string part();
-    std::string unfinished() const; // what it keeps, spelt again
-    // The first element of an array that is not whole, once that is there and a string.
-    const std::string *first() const;
+    /// Whether no incomplete message is kept.
+    bool between() const { return !array_ && !bulk_; }
+    /// The total length of the bulk strings of the incomplete message, as announced.
+    std::size_t kept() const { return message_bytes_; }
+    /// The length of an array's first bulk string, while that is being received, if it is longer than a
+    /// client's may be. From then on take_first_part() may be called.
+    std::optional<std::size_t> long_first_length() const;
+    /// Removes and returns the received bytes of an incomplete array's first bulk string.
+    std::string take_first_part();
+    /// Encodes the kept part of the incomplete message again.
+    std::string unfinished() const;
+    /// The first element of an incomplete array, if that element is complete and a bulk string; else null.
+    const std::string *first_element() const;
 
 private:
-    std::optional<Value> ended(Value &&value);
+    std::optional<Value> complete_value(Value &&value);
 
-    std::size_t most_;
-    std::optional<Value> array_, bulk_;    // begun
-    std::size_t missing_ = 0, length_ = 0; // elements of the one, bytes of the other
-    std::size_t got_ = 0;                  // of those bytes
-    std::size_t size_ = 0;
+    std::size_t max_bulk_bytes_;
+    std::optional<Value> array_, bulk_; // incomplete
+    // The number of elements that `array_` still lacks, and the announced length of `bulk_`.
+    std::size_t elements_missing_ = 0, bulk_length_ = 0;
+    std::size_t bulk_received_ = 0; // bytes of `bulk_`
+    std::size_t message_bytes_ = 0; // see kept()
 };
 
 void put_bulk(std::string &out, std::string_view text);
-std::string command(const std::vector<std::string_view> &words); // an array of bulk strings
+/// Encodes an array of bulk strings.
+std::string command(const std::vector<std::string_view> &words);
 
 } // namespace marblewood::net::resp
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -1,5 +1,5 @@
-// The budget of descriptors: node connections get a bounded part, clients the rest, and a few stay spare.
-// Also the dial that all ports share.
+/// \file
+/// The budget of file descriptors, and connecting, reading, writing and accepting on sockets.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -18,59 +18,68 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
+/// Divides the process's file descriptors: node connections get a bounded part, clients the rest, and a few
+/// are reserved for everything else.
 class SocketBudget {
 public:
     explicit SocketBudget(int limit)
-        : most_nodes_(std::max(4, limit / 4)), most_clients_(std::max(4, limit - most_nodes_ - kSpare)),
-          most_kept_(std::max(4, limit / 4)) {}
+        : max_node_sockets_(std::max(4, limit / 4)),
+          max_client_sockets_(std::max(4, limit - max_node_sockets_ - kReservedSockets)),
+          max_idle_clients_(std::max(4, limit / 4)) {}
 
-    class Lease { // one descriptor's place in the budget
+    /// Counts one descriptor against the budget for as long as it exists.
+    class Lease {
     public:
         Lease() = default;
-        explicit Lease(int &held) : held_(&held) { ++held; }
-        Lease(Lease &&other) noexcept : held_(std::exchange(other.held_, nullptr)) {}
+        explicit Lease(int &count) : count_(&count) { ++count; }
+        Lease(Lease &&other) noexcept : count_(std::exchange(other.count_, nullptr)) {}
         Lease &operator=(Lease &&other) noexcept {
-            std::swap(held_, other.held_);
+            std::swap(count_, other.count_);
             return *this;
         }
         ~Lease() {
-            if (held_)
-                --*held_;
+            if (count_)
+                --*count_;
         }
 
     private:
-        int *held_ = nullptr;
+        int *count_ = nullptr;
     };
-    bool nodes_full() const { return nodes_ >= (shared_ ? most_nodes_ / 2 : most_nodes_); }
-    bool clients_full() const { return clients_ + elsewhere_ >= most_clients_; }
-    // Another process, which hands over to this one or takes over from it, has half of what nodes get, and so
-    // many clients.
+    bool nodes_full() const { return node_sockets_ >= (shared_ ? max_node_sockets_ / 2 : max_node_sockets_); }
+    bool clients_full() const { return client_sockets_ + clients_elsewhere_ >= max_client_sockets_; }
+    /// While two processes run during a hot restart (`shared`), each uses half of the budget for node
+    /// connections. `clients_elsewhere` client connections are still held by the other process and count here
+    /// too.
     void share(bool shared, int clients_elsewhere = 0) {
         shared_ = shared;
-        elsewhere_ = clients_elsewhere;
+        clients_elsewhere_ = clients_elsewhere;
     }
-    void came_over() { elsewhere_ = std::max(0, elsewhere_ - 1); }
+    /// The other process has handed one of its client connections to this one.
+    void came_over() { clients_elsewhere_ = std::max(0, clients_elsewhere_ - 1); }
     bool shared() const { return shared_; }
-    int clients() const { return clients_; }
-    // Connections that have asked. For requests, clients hold a third of the descriptors at the most: they
-    // must have some left for what comes next.
-    int most_kept() const { return most_kept_; }
+    int clients() const { return client_sockets_; }
+    /// The limit on idle client connections that have sent a request before: a quarter of all descriptors, so
+    /// that some stay free for new clients.
+    int most_kept() const { return max_idle_clients_; }
     Lease node() {
-        ++opened_;
-        return Lease(nodes_);
+        ++node_sockets_opened_;
+        return Lease(node_sockets_);
     }
-    std::uint64_t opened() const { return opened_; } // connections begun to nodes since the start
-    Lease client() { return Lease(clients_); }
+    /// The number of connections to nodes that were started since the process began.
+    std::uint64_t opened() const { return node_sockets_opened_; }
+    Lease client() { return Lease(client_sockets_); }
 
 private:
-    static constexpr int kSpare =
-        40; // listeners, control's callers, discovery, peers, telemetry, timers, the log
-    int most_nodes_, most_clients_, most_kept_, nodes_ = 0, clients_ = 0, elsewhere_ = 0;
-    std::uint64_t opened_ = 0;
+    // For listeners, callers of the control address, discovery, peers, telemetry, timers and the log.
+    static constexpr int kReservedSockets = 40;
+    int max_node_sockets_, max_client_sockets_, max_idle_clients_, node_sockets_ = 0, client_sockets_ = 0,
+                                                                   clients_elsewhere_ = 0;
+    std::uint64_t node_sockets_opened_ = 0;
     bool shared_ = false;
 };
 
-// Connects within the time; an error otherwise. `on_stop` is where the caller may break it off.
+/// Connects until `until` (Unix time) and disables Nagle's algorithm; otherwise an error. The caller may
+/// cancel the call by closing the socket.
 inline asio::awaitable<boost::system::error_code> dial(tcp::socket &socket, tcp::endpoint to, Micros until,
                                                        core::Deadlines &deadlines) {
     boost::system::error_code error;
@@ -86,19 +95,20 @@
     co_return error;
 }
 
-// Reading, writing and accepting below wait for the socket anew after every call that did less than it might
-// have. Asio's own operations wait for an edge then, which follows only where the system's buffer was really
-// empty or full: not after an interrupted, shortened or refused call.
+// The functions below wait for the socket to be ready again after every system call that transferred less
+// than possible. Asio's own operations wait for an edge of edge-triggered readiness in that case. That edge
+// comes only if the kernel's buffer was really empty or full, not after an interrupted, shortened or refused
+// call.
 
-// Whether a call on a socket that does not block is to be tried again once the socket is ready.
-inline bool to_be_tried_again(const boost::system::error_code &error) {
+/// Whether a call on a non-blocking socket has to be retried once the socket is ready.
+inline bool is_retryable(const boost::system::error_code &error) {
     return error == asio::error::would_block || error == asio::error::try_again ||
            error == asio::error::interrupted;
 }
 
-// Whether the other side has neither ended the connection nor sent anything that is not read yet.
+/// Whether the peer has neither closed the connection nor sent bytes that are not read yet.
 inline bool quiet(tcp::socket &socket) {
-    constexpr int kTries = 8; // an interrupted call says nothing
+    constexpr int kTries = 8; // an interrupted call has no result and is repeated
     char byte;
     for (int n = 0; n < kTries; ++n) {
         const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -110,41 +120,45 @@
     return false;
 }
 
-// Appends what has come. One buffer serves all connections: those that wait need none.
-inline constexpr std::size_t kChunk = 64 * 1024;
-inline boost::system::error_code read_now(tcp::socket &socket, std::string &in, std::size_t most = kChunk) {
-    static char chunk[kChunk];
+inline constexpr std::size_t kReadChunkBytes = 64 * 1024;
+
+/// Appends the bytes that have arrived to `in`, without waiting. All connections share one static buffer, so
+/// that connections that wait for bytes need none.
+inline boost::system::error_code read_now(tcp::socket &socket, std::string &in,
+                                          std::size_t max_bytes = kReadChunkBytes) {
+    static char chunk[kReadChunkBytes];
     boost::system::error_code error;
     socket.non_blocking(true, error);
     if (!error)
-        in.append(chunk, socket.read_some(asio::buffer(chunk, most), error));
-    if (to_be_tried_again(error))
+        in.append(chunk, socket.read_some(asio::buffer(chunk, max_bytes), error));
+    if (is_retryable(error))
         error.clear();
     return error;
 }
+/// Waits until the socket is readable, then appends the bytes that have arrived to `in`.
 inline asio::awaitable<boost::system::error_code> read_more(tcp::socket &socket, std::string &in,
-                                                            std::size_t most = kChunk) {
+                                                            std::size_t max_bytes = kReadChunkBytes) {
     boost::system::error_code error;
     co_await socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-    co_return error ? error : read_now(socket, in, most);
+    co_return error ? error : read_now(socket, in, max_bytes);
 }
 
-// Writes all bytes, the first of them at once; how many went out. Fewer than all come with an error. What
-// stands behind the call runs in the same turn as the last bytes.
+/// Writes all bytes, the first of them at once, and returns how many were written; if fewer than all, `error`
+/// is set. Resumes the caller without yielding after the last byte, so that no other handler runs in between.
 inline asio::awaitable<std::size_t> write_whole(tcp::socket &socket, std::string_view bytes,
                                                 boost::system::error_code &error) {
     std::size_t written = 0;
     socket.non_blocking(true, error);
     while (!error && written < bytes.size()) {
         written += socket.write_some(asio::buffer(bytes.substr(written)), error);
-        if (!to_be_tried_again(error))
+        if (!is_retryable(error))
             continue;
         co_await socket.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
     }
     co_return written;
 }
 
-// The same, and gives other work a turn before it returns.
+/// Like write_whole(), but lets other handlers of the event loop run before it returns.
 inline asio::awaitable<std::size_t> write_all(tcp::socket &socket, std::string_view bytes,
                                               boost::system::error_code &error) {
     const std::size_t written = co_await write_whole(socket, bytes, error);
@@ -152,7 +166,7 @@
     co_return written;
 }
 
-// Accepts the next connection, of a socket that listen_at() or listen_with() has made.
+/// Accepts the next connection. `acceptor` is a non-blocking one, as listen_at() and listen_with() make them.
 inline asio::awaitable<boost::system::error_code> accept_next(tcp::acceptor &acceptor, tcp::socket &socket) {
     boost::system::error_code error;
     do {
@@ -160,7 +174,7 @@
                                      asio::redirect_error(asio::use_awaitable, error));
         if (!error)
             acceptor.accept(socket, error);
-    } while (to_be_tried_again(error));
+    } while (is_retryable(error));
     co_return error;
 }
 
--- a/tests/nvme_test.cpp
+++ b/tests/nvme_test.cpp
@@ -1,4 +1,6 @@
-// The program with its NVMe/TCP front and node port: hosts, targets and RESP2 parties as stand-ins.
+/// \file
+/// Runs the program with its NVMe/TCP front end and node port against simulated NVMe hosts, NVMe targets,
+/// RESP2 clients and RESP2 nodes.
 #include "helper.hpp"
 
 #include "net/nvme/pdu.hpp"
@@ -11,7 +13,7 @@
 
 namespace {
 
-constexpr std::uint32_t kBlock = 4096, kExtended = kBlock + 8;
+constexpr std::uint32_t kBlockBytes = 4096, kExtendedBlockBytes = kBlockBytes + 8;
 const std::string kSubsystem = "nqn.2026-12.net.hanbit:store";
 
 std::optional<Pdu> receive(Socket &s) {
@@ -23,28 +25,28 @@
     }
 }
 
-// A target: admin and I/O queues, a store of blocks, and a script of what goes wrong.
-enum class Act { Serve, Error, NotReady, Silent, Break, Half };
+// A simulated NVMe target: admin and I/O queues, a store of blocks, and a script of faults.
+enum class Behavior { Serve, Error, NotReady, Silent, CloseConnection, SendPartialPdu };
 class Target {
 public:
-    using Script = std::function<Act(bool write, std::uint64_t block, int nth)>;
+    using Script = std::function<Behavior(bool write, std::uint64_t block, int nth)>;
     explicit Target(Script script) : script_(std::move(script)), server([this](Socket &s) { serve(s); }) {}
     std::atomic<int> commands = 0, aborts = 0;
 
 private:
     void serve(Socket &s) {
-        if (const auto hello = receive(s); !hello || hello->type != Type::ICReq)
+        if (const auto request_pdu = receive(s); !request_pdu || request_pdu->type != Type::ICReq)
             return;
         s.send(nvme::ic_resp(65536));
-        std::map<std::uint16_t, std::pair<std::uint64_t, std::string>>
-            writes; // by identifier, which is the tag too
+        // By command identifier, which is also used as transfer tag.
+        std::map<std::uint16_t, std::pair<std::uint64_t, std::string>> writes;
         while (const auto pdu = receive(s)) {
             if (pdu->type == Type::H2CData) {
                 const auto cid = nvme::get<std::uint16_t>(pdu->head, 8);
                 auto &[block, data] = writes.at(cid);
                 data += pdu->data;
-                if (data.size() == kExtended)
-                    end(s, cid, true, block, data);
+                if (data.size() == kExtendedBlockBytes)
+                    complete_command(s, cid, true, block, data);
                 continue;
             }
             const Command c{pdu->head.substr(8, 64)};
@@ -68,38 +70,40 @@
                 ++aborts;
             } else if (c.opcode() == op::kWrite) {
                 writes[c.cid()] = {c.dword<std::uint64_t>(10), ""};
-                s.send(nvme::r2t(c.cid(), c.cid(), 0, kExtended));
+                s.send(nvme::r2t(c.cid(), c.cid(), 0, kExtendedBlockBytes));
                 continue;
             } else if (c.opcode() == op::kRead) {
-                if (!end(s, c.cid(), false, c.dword<std::uint64_t>(10), ""))
+                if (!complete_command(s, c.cid(), false, c.dword<std::uint64_t>(10), ""))
                     return;
                 continue;
             }
             s.send(done.capsule());
         }
     }
-    bool end(Socket &s, std::uint16_t cid, bool write, std::uint64_t block, const std::string &data) {
+    bool complete_command(Socket &s, std::uint16_t cid, bool write, std::uint64_t block,
+                          const std::string &data) {
         const std::lock_guard lock(mutex_);
-        const Act act = script_(write, block, ++nth_[block]);
+        const Behavior behavior = script_(write, block, ++commands_by_block_[block]);
         ++commands;
         Completion done;
         done.cid = cid;
-        if (act == Act::Break)
+        if (behavior == Behavior::CloseConnection)
             s.shut();
-        if (act == Act::Break || act == Act::Silent)
-            return act == Act::Silent;
-        if (act == Act::Half)
+        if (behavior == Behavior::CloseConnection || behavior == Behavior::Silent)
+            return behavior == Behavior::Silent;
+        if (behavior == Behavior::SendPartialPdu)
             s.send(nvme::data(Type::C2HData, cid, 0, 0, std::string(1000, 'x'), false).substr(0, 500));
-        if (act == Act::Half)
+        if (behavior == Behavior::SendPartialPdu)
             return true;
-        if (act == Act::Error)
+        if (behavior == Behavior::Error)
             done.status.code = status::kInternal;
-        if (act == Act::NotReady)
+        if (behavior == Behavior::NotReady)
             done.status.code = status::kNotReady;
-        if (act == Act::Serve && write)
+        if (behavior == Behavior::Serve && write)
             blocks_[block] = data;
-        if (act == Act::Serve && !write) {
-            std::string bytes = blocks_.count(block) ? blocks_[block] : std::string(kExtended, '\0');
+        if (behavior == Behavior::Serve && !write) {
+            std::string bytes =
+                blocks_.count(block) ? blocks_[block] : std::string(kExtendedBlockBytes, '\0');
             s.send(nvme::data(Type::C2HData, cid, 0, 0, std::string_view(bytes).substr(0, 1000), false));
             s.send(nvme::data(Type::C2HData, cid, 0, 1000, std::string_view(bytes).substr(1000), true));
         }
@@ -108,14 +112,14 @@
     }
     Script script_;
     std::mutex mutex_;
-    std::map<std::uint64_t, int> nth_;
+    std::map<std::uint64_t, int> commands_by_block_;
     std::map<std::uint64_t, std::string> blocks_;
 
 public:
     Server server;
 };
 
-// A host: an admin queue and one I/O queue at the program's front.
+// A simulated NVMe host with an admin queue and one I/O queue, connected to the program's front end.
 class Host {
 public:
     explicit Host(int port) : admin(Socket::to(port)), io(Socket::to(port)) {
@@ -140,7 +144,7 @@
     }
     static std::string command(std::uint8_t opcode, std::uint16_t cid, std::uint64_t block) {
         Command c = Command::make(opcode, cid, 1);
-        c.describe_data(kBlock, false);
+        c.describe_data(kBlockBytes, false);
         c.set_dword(10, block);
         return c.capsule();
     }
@@ -159,10 +163,11 @@
         io.send(command(op::kRead, 9, block));
         return completion(io, value ? value : &ignored);
     }
-    std::uint16_t begin_write(std::uint16_t cid, std::uint64_t block) { // the transfer's tag
+    // Returns the transfer tag.
+    std::uint16_t begin_write(std::uint16_t cid, std::uint64_t block) {
         io.send(command(op::kWrite, cid, block));
         const auto r2t = receive(io);
-        assert(r2t && r2t->type == Type::R2T && nvme::get<std::uint32_t>(r2t->head, 16) == kBlock);
+        assert(r2t && r2t->type == Type::R2T && nvme::get<std::uint32_t>(r2t->head, 16) == kBlockBytes);
         return nvme::get<std::uint16_t>(r2t->head, 10);
     }
     Completion write(std::uint64_t block, const std::string &value) {
@@ -174,26 +179,26 @@
     Socket admin, io;
 };
 
-std::string operators(int port, bool nvme_node) {
+std::string operator_settings(int port, bool nvme_node) {
     return fmt::format(
         R"({{"nvme":{{"listen":"127.0.0.1:{}","subsystem":"{}","block_bytes":{},"namespaces":[{{"nsid":1,)"
         R"("volume":"00000003b4d60021","plan":"standard","read_class":"read","write_class":"new-write",)"
         R"("shard":0,"first_piece":"0000000000000100","blocks":256}}],"nodes":{{{}}}}}}})",
-        port, kSubsystem, kBlock,
+        port, kSubsystem, kBlockBytes,
         nvme_node ? fmt::format(R"("s-1":{{"subsystem":"{}","nsid":1}})", kSubsystem) : "");
 }
-Act serve_all(bool, std::uint64_t, int) {
-    return Act::Serve;
+Behavior serve_all(bool, std::uint64_t, int) {
+    return Behavior::Serve;
 }
 std::string block_of(char c) {
-    return std::string(kBlock, c);
+    return std::string(kBlockBytes, c);
 }
 
-// ICReq and a response as the specification lays them out, byte for byte: both sides of these tests share the
-// code that is tested.
+// Compares PDUs with the bytes that the specification defines. The other tests here cannot detect a wrong
+// encoding, because both sides use the program's own code.
 void the_bytes_are_the_specifications() {
-    const std::string hello = nvme::ic_req();
-    assert(hello.size() == 128 && hello.substr(0, 8) == std::string("\0\0\x80\0\x80\0\0\0", 8));
+    const std::string request_pdu = nvme::ic_req();
+    assert(request_pdu.size() == 128 && request_pdu.substr(0, 8) == std::string("\0\0\x80\0\x80\0\0\0", 8));
     Completion done;
     done.cid = 0x1234;
     done.status = {status::kNotReady, 2, true};
@@ -207,13 +212,13 @@
     Target target(serve_all);
     const Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     Socket client = program.client();
-    for (const std::string &value : {std::string(), std::string("photo"), std::string(kBlock, 'z')}) {
+    for (const std::string &value : {std::string(), std::string("photo"), std::string(kBlockBytes, 'z')}) {
         client.send(put("0000000000000105", value));
         assert(client.value()->text == "OK");
         client.send(get("0000000000000105"));
-        assert(client.value()->text == value); // as long as it was
+        assert(client.value()->text == value); // the length is preserved
     }
     Host host(port);
     std::string read;
@@ -225,12 +230,12 @@
     assert(target.server.accepted == 2); // one association
 }
 
-// Guards against an association ended because others came: a host keeps its queues open, however idle.
+// Guards against closing an idle association because further hosts connect: hosts keep idle queues open.
 void idle_associations_stay() {
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false)); // told of 256 descriptors
+    const Program program(discovery, operator_settings(port, false)); // runs with 256 descriptors
     std::list<Host> hosts;
     for (int n = 0; n < 40; ++n)
         hosts.emplace_back(port);
@@ -248,21 +253,22 @@
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false));
+    const Program program(discovery, operator_settings(port, false));
     Host host(port);
     std::string read;
     assert(host.read(0, &read).status.ok());
-    assert(read.size() == kBlock && read.starts_with(std::string("short\0", 6))); // filled up with zeros
+    assert(read.size() == kBlockBytes && read.starts_with(std::string("short\0", 6))); // padded with zeros
     assert(host.write(3, block_of('b')).status.ok());
     const auto taken = node.taken();
     assert(taken.back()[4] == block_of('b') && taken.back()[3].find(",k=") != std::string::npos);
-    const auto failed = host.write(1, block_of('b')).status; // may have run: a repeat is not safe
+    const auto failed = host.write(1, block_of('b')).status; // it may have run, so that a retry is not safe
     assert(failed.code == status::kInternal && failed.do_not_retry);
     const auto refused = host.read(2).status;
     assert(refused.code == status::kNotReady && !refused.do_not_retry && refused.retry_delay > 0);
 }
 
-// A value longer than any block reaches no host in part: the command fails for good, and the node is let go.
+// Guards against truncated values: if a value is longer than a block, the command fails with Do Not Retry,
+// and the connection to the node is closed.
 void long_values_are_not_cut_to_a_block() {
     std::atomic<int> ended = 0;
     Server node([&](Socket &s) {
@@ -273,7 +279,7 @@
     });
     const Discovery discovery(member("s-1", node.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false));
+    const Program program(discovery, operator_settings(port, false));
     Host host(port);
     const auto status = host.read(0).status;
     assert(status.code == status::kTransferError && status.do_not_retry);
@@ -282,13 +288,14 @@
     assert(ended == 1);
 }
 
-// A command cancelled with its data half sent: one answer; the tag is not used again while late data may bear
-// it; late data harms nothing, and the identifier serves again.
+// A host aborts a Write after sending half of the data. The Write gets exactly one completion, late data is
+// discarded, and the command identifier can be used again. The transfer tag is not used again while late data
+// may still carry it.
 void a_command_cancelled_half_way() {
     Target target(serve_all);
     const Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     Host host(port);
     assert(host.write(4, block_of('o')).status.ok());
     const auto tag = host.begin_write(8, 4);
@@ -299,24 +306,24 @@
     const Completion aborted = host.completion(host.admin);
     assert(aborted.status.ok() && aborted.result == 0);
     assert(host.completion(host.io).status.code == status::kAborted);
-    const auto next = host.begin_write(8, 5); // the same identifier, while the old data is still to come
+    const auto next = host.begin_write(8, 5); // the same identifier, before the rest of the old data
     assert(next != tag);
-    host.io.send(nvme::data(Type::H2CData, 8, tag, 2000, std::string(kBlock - 2000, 'n'), true));
+    host.io.send(nvme::data(Type::H2CData, 8, tag, 2000, std::string(kBlockBytes - 2000, 'n'), true));
     host.io.send(nvme::data(Type::H2CData, 8, next, 0, block_of('p'), true));
     assert(host.completion(host.io).status.ok());
     std::string read;
-    assert(host.read(4, &read).status.ok() && read == block_of('o')); // the cancelled write left no trace
+    assert(host.read(4, &read).status.ok() && read == block_of('o')); // the aborted write changed nothing
     read.clear();
     assert(host.read(5, &read).status.ok() && read == block_of('p'));
-    assert(host.io.silent_for(200)); // one answer each
+    assert(host.io.silent_for(200)); // one completion each
 }
 
-// A node that goes silent: the deadline ends the command with one answer, and the node is told to abort.
+// A node does not respond: at the deadline the client gets one response, and the node gets an Abort command.
 void a_deadline_ends_a_silent_command() {
-    Target target([](bool, std::uint64_t, int) { return Act::Silent; });
+    Target target([](bool, std::uint64_t, int) { return Behavior::Silent; });
     const Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     Socket client = program.client();
     client.send(get("0000000000000105", 0, 600));
     assert(client.value()->kind == resp::Value::Kind::Error);
@@ -326,10 +333,11 @@
 }
 
 void a_lost_connection_is_made_again() {
-    Target target([](bool, std::uint64_t, int nth) { return nth == 1 ? Act::Break : Act::Serve; });
+    Target target(
+        [](bool, std::uint64_t, int nth) { return nth == 1 ? Behavior::CloseConnection : Behavior::Serve; });
     const Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     Host host(port);
     assert(host.read(7).status.ok() && target.commands == 2);
 }
@@ -338,7 +346,7 @@
     Target target(serve_all);
     Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     Host host(port);
     assert(host.read(7).status.ok());
     discovery.change(member("s-1", target.server.port, 0, "draining"));
@@ -350,54 +358,55 @@
     Target target(serve_all);
     const Discovery discovery(member("s-1", target.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, true));
+    const Program program(discovery, operator_settings(port, true));
     std::string no_type = nvme::ic_req(), wrong_head = nvme::ic_req(), huge = nvme::ic_req();
     no_type[0] = 0x55;
     wrong_head[2] = 24;
     huge[7] = 0x7f;
-    for (const std::string &bad : {no_type, wrong_head, huge, Host::command(op::kRead, 1, 0),
-                                   nvme::ic_req() + nvme::data(Type::H2CData, 1, 77, 0, "x", true)}) {
+    for (const std::string &malformed : {no_type, wrong_head, huge, Host::command(op::kRead, 1, 0),
+                                         nvme::ic_req() + nvme::data(Type::H2CData, 1, 77, 0, "x", true)}) {
         Socket s = Socket::to(port);
-        s.send(bad);
+        s.send(malformed);
         std::optional<Pdu> pdu = receive(s);
         if (pdu && pdu->type == Type::ICResp)
             pdu = receive(s);
         assert(pdu && pdu->type == Type::C2HTermReq && s.ended());
     }
-    // With answers under way: they are sent, then the connection ends; it must not wait for answers paid
-    // twice.
+    // A malformed PDU after a valid command: the command is completed, then the connection is closed. Guards
+    // against counting a completion twice, so that the connection waits for it forever.
     Host broken(port);
-    Command look = Command::make(op::kFabrics, 3);
-    nvme::set(look.bytes, 4, op::kPropertyGet);
-    broken.admin.send(look.capsule() + no_type);
+    Command get_status = Command::make(op::kFabrics, 3);
+    nvme::set(get_status.bytes, 4, op::kPropertyGet);
+    broken.admin.send(get_status.capsule() + no_type);
     assert(broken.completion(broken.admin).cid == 3);
     assert(receive(broken.admin)->type == Type::C2HTermReq && broken.admin.ended());
-    assert(broken.io.ended()); // the controller ends with its admin queue
+    assert(broken.io.ended()); // the controller's I/O queue is closed with its admin queue
     Host host(port);
     assert(host.read(1).status.ok() && program.running());
 }
 
-// The same requests against nodes that misbehave alike: the same outcomes, whatever either side speaks.
+// Sends the same requests over NVMe and RESP2 to nodes of either protocol that fail in the same way. The
+// outcomes must be the same.
 using Counts = std::map<std::string, int>;
-Act misbehave(std::uint64_t block, int nth) {
-    const Act acts[] = {Act::Serve, Act::Error, Act::NotReady, Act::Serve,
-                        nth == 1 ? Act::Error : Act::Serve};
-    return acts[block % 5];
+Behavior behavior_of(std::uint64_t block, int nth) {
+    const Behavior behaviors[] = {Behavior::Serve, Behavior::Error, Behavior::NotReady, Behavior::Serve,
+                                  nth == 1 ? Behavior::Error : Behavior::Serve};
+    return behaviors[block % 5];
 }
 Counts outcomes(bool nvme_host, bool nvme_node) {
-    Target target([](bool, std::uint64_t block, int nth) { return misbehave(block - 0x100, nth); });
+    Target target([](bool, std::uint64_t block, int nth) { return behavior_of(block - 0x100, nth); });
     std::map<std::string, int> nth;
     std::mutex mutex;
     RespNode node([&](const auto &words, int) -> std::string {
         const std::lock_guard lock(mutex);
-        const Act act = misbehave(std::stoull(words[1], nullptr, 16) - 0x100, ++nth[words[1]]);
-        return act == Act::Serve   ? RespNode::served("v")
-               : act == Act::Error ? "-ERR failed\r\n"
-                                   : "-BUSY\r\n";
+        const Behavior behavior = behavior_of(std::stoull(words[1], nullptr, 16) - 0x100, ++nth[words[1]]);
+        return behavior == Behavior::Serve   ? RespNode::served("v")
+               : behavior == Behavior::Error ? "-ERR failed\r\n"
+                                             : "-BUSY\r\n";
     });
     const Discovery discovery(member("s-1", nvme_node ? target.server.port : node.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, nvme_node));
+    const Program program(discovery, operator_settings(port, nvme_node));
     std::optional<Host> host;
     if (nvme_host)
         host.emplace(port);
@@ -419,11 +428,12 @@
     }
     return counts;
 }
-// As on RESP2: a host that says nothing, or half of a PDU, is told and let go; a connected one may be idle.
+// As with RESP2 clients: the connection of a host that sends nothing, or only a part of a PDU, is closed, in
+// the second case after a TermReq PDU. A host that is set up may be idle.
 void silent_hosts_and_half_pdus_get_an_end() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false));
+    const Program program(discovery, operator_settings(port, false));
     Host idle(port);
     const auto from = std::chrono::steady_clock::now();
     Socket silent = Socket::to(port), half = Socket::to(port);
@@ -433,13 +443,14 @@
     assert(idle.admin.silent_for(100) && idle.io.silent_for(0));
 }
 
-// As on RESP2: an answer that has begun and does not go on is not waited for until the client's time is up.
+// As with RESP2 nodes: an incomplete PDU from a node is not awaited until the client's deadline.
 void half_a_node_pdu_is_not_waited_for() {
-    Target target([](bool, std::uint64_t, int nth) { return nth == 9 ? Act::Half : Act::Serve; });
+    Target target(
+        [](bool, std::uint64_t, int nth) { return nth == 9 ? Behavior::SendPartialPdu : Behavior::Serve; });
     const Discovery discovery(member("s-1", target.server.port, 0));
-    const Program program(discovery, operators(free_port(), true));
+    const Program program(discovery, operator_settings(free_port(), true));
     Socket client = program.client();
-    for (int n = 0; n < 8; ++n) { // a node known to be quick: the repeat is worth its while
+    for (int n = 0; n < 8; ++n) { // establish a low latency of the node, so that the broker retries
         client.send(get("0000000000000101"));
         assert(client.value()->kind == resp::Value::Kind::Bulk);
     }
@@ -457,11 +468,11 @@
             assert(outcomes(nvme_host, nvme_node) == expected);
 }
 
-// Clients are sent away, or the process ends: each command that a host has begun is completed first, though
-// the queues of its controller end together.
+// At a quiesce call or a shutdown, every command that a host has sent is completed before its connections are
+// closed, although all queues of a controller are closed together.
 void commands_are_completed_before_a_host_is_let_go(bool process_ends) {
-    constexpr std::uint16_t kCommands = 2; // as many as go to a new node at once
-    // Longer than the front takes to move; or longer than the process may.
+    constexpr std::uint16_t kCommands = 2; // the number sent to a new node at once
+    // Longer than the front end takes to close its clients' connections, or the longest shutdown.
     const auto busy = process_ends ? 5000ms : 1600ms;
     RespNode node([busy](const auto &, int) {
         std::this_thread::sleep_for(busy);
@@ -469,10 +480,10 @@
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const int port = free_port();
-    std::string settings = kSettings; // so long that the end of the process may not be forced before
-    const std::string usual = R"("hard_limit":1500.0)";
-    settings.replace(settings.find(usual), usual.size(), R"("hard_limit":4000.0)");
-    Program program(discovery, operators(port, false), settings);
+    std::string settings = kSettings; // with a limit that does not force the exit earlier
+    const std::string default_limit = R"("hard_limit":1500.0)";
+    settings.replace(settings.find(default_limit), default_limit.size(), R"("hard_limit":4000.0)");
+    Program program(discovery, operator_settings(port, false), settings);
     Host host(port);
     for (std::uint16_t cid = 1; cid <= kCommands; ++cid)
         host.io.send(Host::command(op::kRead, cid, cid));
@@ -494,8 +505,8 @@
         assert(program.exit_code() == 0);
 }
 
-// Once connections are being ended a write is refused at once: its data is not asked for, which the host
-// might never send.
+// While a host's connections are being closed, a Write is rejected at once. The front end must not request
+// its data, which the host might never send.
 void a_write_is_refused_before_its_data_once_its_connection_ends() {
     RespNode node([](const auto &, int) {
         std::this_thread::sleep_for(2s);
@@ -503,10 +514,10 @@
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false));
+    const Program program(discovery, operator_settings(port, false));
     Host host(port);
     std::this_thread::sleep_for(700ms);
-    host.io.send(Host::command(op::kRead, 1, 1)); // its connection stays as long as this is open
+    host.io.send(Host::command(op::kRead, 1, 1)); // keeps the connection open until it is completed
     while (node.taken().empty())
         std::this_thread::sleep_for(5ms);
     assert(program.call("POST", "quiesce").first == 200);
@@ -517,7 +528,7 @@
     assert(!Completion::read(*answer).status.ok());
 }
 
-// A host that always has commands out, and more to come, is sent away all the same.
+// The connections of a host are closed in time even if it always has commands in progress and sends more.
 void a_host_that_never_rests_is_sent_away() {
     RespNode node([](const auto &, int) {
         std::this_thread::sleep_for(300ms);
@@ -525,7 +536,7 @@
     });
     const Discovery discovery(member("s-1", node.server.port, 0));
     const int port = free_port();
-    const Program program(discovery, operators(port, false));
+    const Program program(discovery, operator_settings(port, false));
     Host host(port);
     std::thread writer([&] {
         for (std::uint16_t cid = 1; host.io.send(Host::command(op::kRead, cid, cid % 200)); ++cid)
--- a/tests/otlp_test.cpp
+++ b/tests/otlp_test.cpp
@@ -1,4 +1,5 @@
-// Telemetry: a stand-in collector takes what the program sends.
+/// \file
+/// Runs the program with OTLP export to a simulated collector.
 #include "helper.hpp"
 
 #include <json/json.h>
@@ -30,12 +31,12 @@
                   const std::string path = s.in.substr(5, s.in.find(" HTTP") - 5);
                   const std::string body = s.in.substr(head + 4, size);
                   s.in.erase(0, head + 4 + size);
-                  const bool refuse = calls++ < failures;
-                  if (!refuse) {
+                  const bool reject = calls++ < failures;
+                  if (!reject) {
                       const std::lock_guard lock(mutex);
                       bodies[path].push_back(parse(body));
                   }
-                  s.send(refuse ? "HTTP/1.1 503 Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+                  s.send(reject ? "HTTP/1.1 503 Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
                                 : "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
               }
           }) {}
@@ -54,7 +55,8 @@
     return found;
 }
 
-// A batch that the collector can't take now comes again, once; requests don't wait for it.
+// A batch that the collector rejects as temporarily unavailable is sent again, and its spans arrive once.
+// Requests do not wait for that.
 void spans_and_metrics_reach_the_collector() {
     Collector collector(1);
     RespNode node([](const auto &, int nth) { return nth == 1 ? "-ERR failed\r\n" : RespNode::served("v"); });
@@ -76,7 +78,7 @@
     for (const Json::Value &attempt : spans["attempt"])
         assert(attempt["traceId"] == request["traceId"] && attempt["parentSpanId"] == request["spanId"]);
     assert(spans["attempt"][0]["spanId"] != spans["attempt"][1]["spanId"]);
-    for (std::string served; served != "1";) { // the counts come with a later call
+    for (std::string served; served != "1";) { // the counts are sent by a later call
         std::this_thread::sleep_for(20ms);
         const std::lock_guard lock(collector.mutex);
         if (const auto &all = collector.bodies["/v1/metrics"]; !all.empty())
--- a/tests/wire_bytes_test.cpp
+++ b/tests/wire_bytes_test.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The exact bytes of the wires that other tests read back with the program's own code, so that a renaming
-/// can't change both sides at once. Numbers in NVMe PDUs are little-endian.
+/// The exact bytes of the protocols' messages. Other tests decode them with the program's own code, so that
+/// they would not detect a change of both the encoder and the decoder. Numbers in NVMe PDUs are
+/// little-endian.
 #include "marblewood/scheduler.hpp"
 #include "net/nvme/pdu.hpp"
 #include "net/resp/parser.hpp"
@@ -16,7 +17,7 @@
 namespace nvme = net::nvme;
 namespace resp = net::resp;
 
-/// Hexadecimal digits, with each run of at least four zero bytes as `(count)`.
+/// Hexadecimal digits, with each run of at least four zero bytes shortened to `(count)`.
 std::string hex(std::string_view bytes) {
     std::string text;
     for (std::size_t at = 0; at < bytes.size();) {
@@ -104,7 +105,8 @@
 
 constexpr Micros kStart = 1'000'000'000;
 
-/// Hosts that deliver each other's datagrams at once and keep a transcript, "sender>receiver data".
+/// Schedulers of several hosts, which receive each other's datagrams at once. Records each datagram as
+/// "sender>receiver data".
 class Hosts {
 public:
     explicit Hosts(int count) {
