--- a/src/app/broker_stats.cpp
+++ b/src/app/broker_stats.cpp
@@ -26,7 +26,7 @@
     net::Costs costs;
     costs.requests = from_.metrics.total();
     costs.probes = from_.metrics.probes;
-    costs.connections = from_.sockets.opened();
+    costs.connections = from_.sockets.node_sockets_opened();
     costs.list_calls = from_.discovery ? from_.discovery->metrics().calls : 0;
     costs.failed = from_.metrics.total(Kind::Failed);
     costs.broken = from_.metrics.streams_broken;
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -28,14 +28,14 @@
 }
 
 std::string base64(const std::string &bytes) {
-    static constexpr char digits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+    static constexpr char kDigits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     std::string text;
     for (std::size_t at = 0; at < bytes.size(); at += 3) {
         std::uint32_t group = 0;
         for (std::size_t k = 0; k < 3; ++k)
             group = group << 8 | (at + k < bytes.size() ? static_cast<unsigned char>(bytes[at + k]) : 0u);
         for (std::size_t k = 0; k < 4; ++k)
-            text += at + k > bytes.size() ? '=' : digits[group >> (18 - 6 * k) & 63];
+            text += at + k > bytes.size() ? '=' : kDigits[group >> (18 - 6 * k) & 63];
     }
     return text;
 }
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -238,7 +238,7 @@
 }
 
 asio::awaitable<boost::system::error_code> DiscoveryClient::ensure_connected(Watch &watch) {
-    if (watch.socket.is_open() && !net::quiet(watch.socket))
+    if (watch.socket.is_open() && !net::is_open_and_silent(watch.socket))
         close(watch); // it has ended, or more than a response has come
     if (watch.socket.is_open())
         co_return boost::system::error_code();
--- a/src/lab/world_clients.cpp
+++ b/src/lab/world_clients.cpp
@@ -46,7 +46,7 @@
     });
     co_await asio::async_write(*socket, asio::buffer(command),
                                asio::redirect_error(asio::use_awaitable, error));
-    net::resp::Reader reader(net::resp::kMostAnswer);
+    net::resp::Reader reader(net::resp::kMaxNodeBulkBytes);
     std::string in;
     std::optional<net::resp::Value> value;
     while (!error && !value) {
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -170,7 +170,7 @@
 }
 
 void Clients::adopt(Passed passed) {
-    budget_.came_over();
+    budget_.client_handed_over();
     if (budget_.clients_full())
         evict_one();
     tcp::socket socket(io_);
@@ -197,7 +197,7 @@
 // Some clients ask once and stay, each on a connection of its own. What they hold of the connections that
 // clients may have is missing to those who want to ask.
 void Clients::limit_idle_askers() {
-    if (order_.askers() < static_cast<std::size_t>(budget_.most_kept()))
+    if (order_.askers() < static_cast<std::size_t>(budget_.max_idle_clients()))
         return;
     // At a handover a connection closed as its next request comes would turn that back; at a drain its client
     // could not come again.
--- a/src/net/costs.cpp
+++ b/src/net/costs.cpp
@@ -37,7 +37,7 @@
              {"shed_held", metrics.shed.queue_full}}};
 }
 
-std::string spell(const Costs &costs) {
+std::string format_costs(const Costs &costs) {
     std::string text = fmt::format(
         "costs: requests={} probes={} connections={} list_calls={} probes_per_k={:.1f} "
         "connections_per_k={:.1f} list_calls_per_k={:.1f} failed={} broken={} turned_away={} "
@@ -60,7 +60,7 @@
 void CostLog::log_if_changed() {
     const Costs now = read_();
     if (now != last_logged_)
-        core::log("{}", spell(now));
+        core::log("{}", format_costs(now));
     last_logged_ = now;
     timer_ = deadlines_.in(kLogInterval, [this] { log_if_changed(); });
 }
--- a/src/net/costs.hpp
+++ b/src/net/costs.hpp
@@ -39,7 +39,7 @@
 /// connections_per_k=Y list_calls_per_k=Z failed=N broken=N turned_away=N refused=N unsent=N datagrams=N
 /// ...". It has the counts, some of them also per thousand requests, and the counts of overload control that
 /// are not 0.
-std::string spell(const Costs &costs);
+std::string format_costs(const Costs &costs);
 
 /// Logs the counts that `read` returns, once a second if one has changed.
 class CostLog {
--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -140,7 +140,7 @@
         if (24 % ((get<std::uint8_t>(pdu.head, 10) + 1) * 4) != 0)
             throw Malformed(Fatal::Unsupported, "data alignment", pdu.head);
         started_ = true;
-        send(ic_resp(kMostData), 0);
+        send(ic_resp(kMaxPduDataBytes), 0);
     }
 
     void command(const Pdu &pdu) {
--- a/src/net/nvme/pdu.cpp
+++ b/src/net/nvme/pdu.cpp
@@ -46,7 +46,7 @@
         throw malformed("wrong header length");
     if (get<std::uint8_t>(in, 1) & 0x03)
         throw malformed("digests were not negotiated");
-    if (size < head || size > head + kMostData + 128)
+    if (size < head || size > head + kMaxPduDataBytes + 128)
         throw malformed("PDU length out of range");
     if (size > head && !carries_data(type))
         throw malformed("PDU type carries no data");
--- a/src/net/nvme/pdu.hpp
+++ b/src/net/nvme/pdu.hpp
@@ -60,7 +60,7 @@
     std::string head; ///< the complete header, including the common header
     std::string data;
 };
-inline constexpr std::size_t kMostData = 64 * 1024 + 8; ///< in one PDU: a block with its metadata
+inline constexpr std::size_t kMaxPduDataBytes = 64 * 1024 + 8; ///< in one PDU: a block with its metadata
 
 /// Removes a PDU from the front of `in`; empty while it is incomplete. Throws Malformed as soon as no further
 /// bytes can make it valid.
--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -35,7 +35,7 @@
     /// Whether the node has neither closed the connection nor sent unexpected bytes since the last use.
     /// Checked before each use, because a request written to a connection that the node has closed can be
     /// lost even if the write succeeds.
-    bool is_reusable() { return received.empty() && quiet(socket); }
+    bool is_reusable() { return received.empty() && is_open_and_silent(socket); }
 };
 
 /// The idle connections to all nodes of a node port, and the opening of new ones within the socket budget.
--- a/src/net/resp/front.cpp
+++ b/src/net/resp/front.cpp
@@ -93,8 +93,8 @@
             spoilt(error.what());
         }
     }
-    bool begun() const override { return !in_.empty() || !reader_.between(); }
-    std::size_t held() const override { return in_.size() + reader_.kept() + ready_; }
+    bool begun() const override { return !in_.empty() || !reader_.is_between_messages(); }
+    std::size_t held() const override { return in_.size() + reader_.incomplete_bytes() + ready_; }
     Micros may_idle() const override { return kMayIdle; }
     void spoilt(const char *why) override {
         std::string().swap(in_); // nothing of it is kept while the client takes its leave
--- a/src/net/resp/node_port.cpp
+++ b/src/net/resp/node_port.cpp
@@ -64,11 +64,11 @@
 asio::awaitable<Response> receive(NodeConnection &connection, core::Deadlines &deadlines,
                                   core::MemoryBudget &memory, core::Attempt &attempt) {
     Response response;
-    Reader reader(kMostAnswer);
+    Reader reader(kMaxNodeBulkBytes);
     core::MemoryBudget::Reservation reserved(memory);
     core::Deadlines::Entry timer;
     while (!response.value && !response.unusable) {
-        if (!reader.between() || !connection.received.empty())
+        if (!reader.is_between_messages() || !connection.received.empty())
             timer = connection.close_if_silent(deadlines, reader.first_element() ? kSilenceTimeoutAfterValue
                                                           : attempt.stream       ? kStreamSilenceTimeout
                                                                                  : kSilenceTimeout);
@@ -94,7 +94,7 @@
             if (response.value || reader.first_element())
                 attempt.stream->finish(true);
         }
-        reserved.resize(connection.received.size() + (attempt.stream ? 0 : reader.kept()));
+        reserved.resize(connection.received.size() + (attempt.stream ? 0 : reader.incomplete_bytes()));
     }
     if (!response.value)
         if (const std::string *value = reader.first_element()) {
--- a/src/net/resp/parser.hpp
+++ b/src/net/resp/parser.hpp
@@ -15,8 +15,8 @@
     using std::runtime_error::runtime_error;
 };
 
-inline constexpr std::size_t kMaxClientBulkBytes = 64 * 1024; ///< of a bulk string from a client
-inline constexpr std::size_t kMostAnswer = 4 * 1024 * 1024;   ///< from a node, whose values can be long
+inline constexpr std::size_t kMaxClientBulkBytes = 64 * 1024;     ///< of a bulk string from a client
+inline constexpr std::size_t kMaxNodeBulkBytes = 4 * 1024 * 1024; ///< from a node, whose values can be long
 inline constexpr std::size_t kMaxLineBytes = 4096;
 inline constexpr std::size_t kMaxArrayElements = 16;
 inline constexpr std::size_t kMaxOtherBulkBytes =
@@ -38,9 +38,9 @@
     /// Malformed as soon as no further bytes can make the message valid.
     std::optional<Value> take(std::string_view &bytes);
     /// Whether no incomplete message is kept.
-    bool between() const { return !array_ && !bulk_; }
+    bool is_between_messages() const { return !array_ && !bulk_; }
     /// The total length of the bulk strings of the incomplete message, as announced.
-    std::size_t kept() const { return message_bytes_; }
+    std::size_t incomplete_bytes() const { return message_bytes_; }
     /// The length of an array's first bulk string, while that is being received, if it is longer than a
     /// client's may be. From then on take_first_part() may be called.
     std::optional<std::size_t> long_first_length() const;
@@ -59,7 +59,7 @@
     // The number of elements that `array_` still lacks, and the announced length of `bulk_`.
     std::size_t elements_missing_ = 0, bulk_length_ = 0;
     std::size_t bulk_received_ = 0; // bytes of `bulk_`
-    std::size_t message_bytes_ = 0; // see kept()
+    std::size_t message_bytes_ = 0; // see incomplete_bytes()
 };
 
 void put_bulk(std::string &out, std::string_view text);
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -68,7 +68,7 @@
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
-            error = read_now(client_.socket, in_);
+            error = read_available(client_.socket, in_);
         if (error) {
             client_gone();
             break;
@@ -107,7 +107,7 @@
             return true;
         const bool fresh = !begun();
         const std::size_t before = in_.size();
-        const auto error = read_now(client_.socket, in_);
+        const auto error = read_available(client_.socket, in_);
         const bool came = in_.size() != before;
         if (came)
             handle_received(fresh);
@@ -130,7 +130,7 @@
         return false;
     if (deadlines_.clock.now() < awaits_until())
         return false;
-    if (!quiet(client_.socket))
+    if (!is_open_and_silent(client_.socket))
         return false;
     boost::system::error_code ignored;
     client_.socket.shutdown(tcp::socket::shutdown_send, ignored);
@@ -300,7 +300,7 @@
         const auto limit = self->deadlines_.in(
             kReadWithin, [&client = self->client_] { client.close(CloseReason::NotReading); });
         self->unwritten_ = true;
-        co_await write_whole(self->client_.socket, out, error);
+        co_await write_without_yield(self->client_.socket, out, error);
         self->unwritten_ = false;
         self->client_.settle_answers(answers);
         self->client_.received(self->deadlines_.clock.now());
@@ -340,7 +340,7 @@
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
-            error = read_now(client_.socket, dropped);
+            error = read_available(client_.socket, dropped);
         client_.dropped_before_shutdown += dropped.size();
         if (error || hung_up())
             client_gone();
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -55,18 +55,18 @@
         clients_elsewhere_ = clients_elsewhere;
     }
     /// The other process has handed one of its client connections to this one.
-    void came_over() { clients_elsewhere_ = std::max(0, clients_elsewhere_ - 1); }
+    void client_handed_over() { clients_elsewhere_ = std::max(0, clients_elsewhere_ - 1); }
     bool shared() const { return shared_; }
     int clients() const { return client_sockets_; }
     /// The limit on idle client connections that have sent a request before: a quarter of all descriptors, so
     /// that some stay free for new clients.
-    int most_kept() const { return max_idle_clients_; }
+    int max_idle_clients() const { return max_idle_clients_; }
     Lease node() {
         ++node_sockets_opened_;
         return Lease(node_sockets_);
     }
     /// The number of connections to nodes that were started since the process began.
-    std::uint64_t opened() const { return node_sockets_opened_; }
+    std::uint64_t node_sockets_opened() const { return node_sockets_opened_; }
     Lease client() { return Lease(client_sockets_); }
 
 private:
@@ -107,7 +107,7 @@
 }
 
 /// Whether the peer has neither closed the connection nor sent bytes that are not read yet.
-inline bool quiet(tcp::socket &socket) {
+inline bool is_open_and_silent(tcp::socket &socket) {
     constexpr int kTries = 8; // an interrupted call has no result and is repeated
     char byte;
     for (int n = 0; n < kTries; ++n) {
@@ -124,8 +124,8 @@
 
 /// Appends the bytes that have arrived to `in`, without waiting. All connections share one static buffer, so
 /// that connections that wait for bytes need none.
-inline boost::system::error_code read_now(tcp::socket &socket, std::string &in,
-                                          std::size_t max_bytes = kReadChunkBytes) {
+inline boost::system::error_code read_available(tcp::socket &socket, std::string &in,
+                                                std::size_t max_bytes = kReadChunkBytes) {
     static char chunk[kReadChunkBytes];
     boost::system::error_code error;
     socket.non_blocking(true, error);
@@ -140,13 +140,13 @@
                                                             std::size_t max_bytes = kReadChunkBytes) {
     boost::system::error_code error;
     co_await socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-    co_return error ? error : read_now(socket, in, max_bytes);
+    co_return error ? error : read_available(socket, in, max_bytes);
 }
 
 /// Writes all bytes, the first of them at once, and returns how many were written; if fewer than all, `error`
 /// is set. Resumes the caller without yielding after the last byte, so that no other handler runs in between.
-inline asio::awaitable<std::size_t> write_whole(tcp::socket &socket, std::string_view bytes,
-                                                boost::system::error_code &error) {
+inline asio::awaitable<std::size_t> write_without_yield(tcp::socket &socket, std::string_view bytes,
+                                                        boost::system::error_code &error) {
     std::size_t written = 0;
     socket.non_blocking(true, error);
     while (!error && written < bytes.size()) {
@@ -158,10 +158,10 @@
     co_return written;
 }
 
-/// Like write_whole(), but lets other handlers of the event loop run before it returns.
+/// Like write_without_yield(), but lets other handlers of the event loop run before it returns.
 inline asio::awaitable<std::size_t> write_all(tcp::socket &socket, std::string_view bytes,
                                               boost::system::error_code &error) {
-    const std::size_t written = co_await write_whole(socket, bytes, error);
+    const std::size_t written = co_await write_without_yield(socket, bytes, error);
     co_await asio::post(socket.get_executor(), asio::use_awaitable);
     co_return written;
 }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -76,7 +76,7 @@
 
 // What the broker asks of the fleet beside its requests is counted where it is begun, and logged.
 void costs_are_counted() {
-    const auto spelt = marblewood::net::spell({2000, 10, 3, 1, 0, 0, 0, 0, 0});
+    const auto spelt = marblewood::net::format_costs({2000, 10, 3, 1, 0, 0, 0, 0, 0});
     assert(spelt.find("probes_per_k=5.0 connections_per_k=1.5 list_calls_per_k=0.5") != std::string::npos);
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
--- a/tests/helper.hpp
+++ b/tests/helper.hpp
@@ -116,7 +116,7 @@
     std::string in;
 
 private:
-    resp::Reader reader_{resp::kMostAnswer};
+    resp::Reader reader_{resp::kMaxNodeBulkBytes};
     int fd_;
 };
 
