--- a/src/app/broker_stats.cpp
+++ b/src/app/broker_stats.cpp
@@ -26,7 +26,7 @@
     net::Costs costs;
     costs.requests = sources_.metrics.total();
     costs.probes = sources_.metrics.probes;
-    costs.connections = sources_.sockets.opened();
+    costs.connections = sources_.sockets.node_sockets_opened();
     costs.list_calls = sources_.discovery ? sources_.discovery->metrics().calls : 0;
     costs.failed = sources_.metrics.total(Kind::Failed);
     costs.broken = sources_.metrics.streams_broken;
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -172,7 +172,7 @@
 }
 
 void Clients::adopt(HandedOverClient inherited) {
-    budget_.came_over();
+    budget_.client_handed_over();
     if (budget_.clients_full())
         evict_one();
     tcp::socket socket(io_);
@@ -200,7 +200,7 @@
 // Some clients send one request and stay connected, each on a connection of its own. As the number of client
 // connections is limited, they would keep others from sending requests.
 void Clients::limit_idle_requesters() {
-    if (order_.requesters() < static_cast<std::size_t>(budget_.most_kept()))
+    if (order_.requesters() < static_cast<std::size_t>(budget_.max_idle_clients()))
         return;
     // During a handover, closing a connection while its next request arrives would reject that request.
     // During a drain, the client could not reconnect.
--- a/src/net/resp/front.cpp
+++ b/src/net/resp/front.cpp
@@ -94,8 +94,10 @@
             reject_input(error.what());
         }
     }
-    bool has_partial_message() const override { return !input_.empty() || !reader_.between(); }
-    std::size_t buffered_bytes() const override { return input_.size() + reader_.kept() + ready_bytes_; }
+    bool has_partial_message() const override { return !input_.empty() || !reader_.is_between_messages(); }
+    std::size_t buffered_bytes() const override {
+        return input_.size() + reader_.incomplete_bytes() + ready_bytes_;
+    }
     Micros idle_timeout() const override { return kIdleTimeout; }
     void reject_input(const char *why) override {
         std::string().swap(input_); // frees its memory while the connection is being closed
--- a/src/net/session.cpp
+++ b/src/net/session.cpp
@@ -68,7 +68,7 @@
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
-            error = read_now(client_.socket, input_);
+            error = read_available(client_.socket, input_);
         if (error) {
             handle_disconnect();
             break;
@@ -109,7 +109,7 @@
             return true;
         const bool starts_message = !has_partial_message();
         const std::size_t before = input_.size();
-        const auto error = read_now(client_.socket, input_);
+        const auto error = read_available(client_.socket, input_);
         const bool received = input_.size() != before;
         if (received)
             handle_received(starts_message);
@@ -133,7 +133,7 @@
         return false;
     if (deadlines_.clock.now() < wait_for_input_until())
         return false;
-    if (!quiet(client_.socket))
+    if (!is_open_and_silent(client_.socket))
         return false;
     boost::system::error_code ignored;
     client_.socket.shutdown(tcp::socket::shutdown_send, ignored);
@@ -308,7 +308,7 @@
         const auto timeout = self->deadlines_.in(
             kWriteTimeout, [&client = self->client_] { client.close(CloseReason::NotReading); });
         self->write_unfinished_ = true;
-        co_await write_whole(self->client_.socket, out, error);
+        co_await write_without_yield(self->client_.socket, out, error);
         self->write_unfinished_ = false;
         self->client_.complete_requests(answers);
         self->client_.received(self->deadlines_.clock.now());
@@ -352,7 +352,7 @@
         if (error == asio::error::operation_aborted && client_.socket.is_open())
             continue;
         if (!error)
-            error = read_now(client_.socket, dropped);
+            error = read_available(client_.socket, dropped);
         client_.dropped_before_shutdown += dropped.size();
         if (error || client_hung_up())
             handle_disconnect();
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -77,7 +77,7 @@
 // Load that the broker puts on other hosts besides requests (connections, probes, list calls) is counted when
 // it is started, and logged.
 void costs_are_counted() {
-    const auto formatted = marblewood::net::spell({2000, 10, 3, 1, 0, 0, 0, 0, 0});
+    const auto formatted = marblewood::net::format_costs({2000, 10, 3, 1, 0, 0, 0, 0, 0});
     assert(formatted.find("probes_per_k=5.0 connections_per_k=1.5 list_calls_per_k=0.5") !=
            std::string::npos);
     RespNode node([](const auto &, int) { return RespNode::served("v"); });
