--- a/src/net/costs.hpp
+++ b/src/net/costs.hpp
@@ -37,8 +37,8 @@
 
 /// Formats the log line: "costs: requests=N probes=N connections=N list_calls=N probes_per_k=X
 /// connections_per_k=Y list_calls_per_k=Z failed=N broken=N turned_away=N refused=N unsent=N datagrams=N
-/// ...". It has the counts, some of them also per thousand requests, and the counts of overload control that
-/// are not 0.
+/// datagram_bytes=N ...". Probes, connections and list calls are also given per thousand requests. The "..."
+/// stands for the counts of overload control that are not 0.
 std::string format_costs(const Costs &costs);
 
 /// Logs the counts that `read` returns, once a second if one has changed.
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -47,6 +47,7 @@
         if (body.size() > kMaxBodyBytes)
             throw std::runtime_error("body too large");
         if (rest.substr(size, 2) != "\r\n")
+            // No line end follows the chunk's data, so the data is longer than the announced size.
             throw std::runtime_error("chunk runs on");
         rest.remove_prefix(size + 2);
     }
--- a/src/net/nvme/mapping.cpp
+++ b/src/net/nvme/mapping.cpp
@@ -18,6 +18,7 @@
         throw_error(std::string("namespaces.") + field + "' is not of 16 hexadecimal digits");
     return value;
 }
+// Returns the index of the row called `name`. `field` is the field of the namespace that holds this name.
 template <typename Rows> int index_of(const Rows &rows, const std::string &name, const char *field) {
     for (std::size_t n = 0; n < rows.size(); ++n)
         if (rows[n].name == name)
--- a/src/net/nvme/node_port.cpp
+++ b/src/net/nvme/node_port.cpp
@@ -255,7 +255,9 @@
     }
 
     asio::awaitable<std::optional<Pdu>> receive(QueuePtr queue) {
-        core::Deadlines::Entry timer; // an incomplete PDU would block all PDUs after it
+        // Closes the connection if the node sends nothing for kSilenceTimeout while a PDU is incomplete,
+        // because the incomplete PDU would block all PDUs after it.
+        core::Deadlines::Entry timer;
         for (;;) {
             if (auto pdu = take(queue->received))
                 co_return pdu;
@@ -479,7 +481,7 @@
         if (it == queue->pending.end())
             throw Malformed(Fatal::HeaderField, "completion of an unknown command");
         if (it->second.mailbox && queue == io_)
-            return it->second.mailbox->put(done); // run() reads the command's data and then removes it
+            return it->second.mailbox->put(done); // run() reads the received data, then removes the command
         if (it->second.mailbox)
             it->second.mailbox->put(done);
         queue->pending.erase(it);
--- a/src/net/nvme/node_port.hpp
+++ b/src/net/nvme/node_port.hpp
@@ -28,7 +28,8 @@
              const Settings &settings, std::uint32_t block_bytes);
     /// Sets or changes the address of a node.
     void place(NodeId node, const tcp::endpoint &address, const NodeMapping &mapping);
-    /// Removes a node that is listed no more. It must have no attempt in progress.
+    /// Removes a node that is no longer in the endpoint list, and closes its connections. The node must have
+    /// no attempt in progress.
     void forget(NodeId node);
 
     asio::awaitable<core::AttemptResult> run(std::shared_ptr<core::Attempt> attempt) override;
--- a/src/net/resp/node_port.hpp
+++ b/src/net/resp/node_port.hpp
@@ -18,7 +18,8 @@
              SocketBudget &budget, const Settings &settings, Peers peers = Peers::Nodes);
     /// Sets or changes the address of a node.
     void place(NodeId node, const tcp::endpoint &address);
-    /// Removes a node that is listed no more. It must have no attempt in progress.
+    /// Removes a node that is no longer in the endpoint list, and closes its idle connections. The node must
+    /// have no attempt in progress.
     void forget(NodeId node);
 
     asio::awaitable<core::AttemptResult> run(std::shared_ptr<core::Attempt> attempt) override;
--- a/src/net/resp/parser.cpp
+++ b/src/net/resp/parser.cpp
@@ -43,6 +43,7 @@
             if (bulk_received_ < bulk_length_ || bytes.empty())
                 return std::nullopt;
             if (!std::string_view("\r\n").starts_with(bytes.substr(0, 2)))
+                // No line end follows the string, so it is longer than its announced length.
                 throw Malformed("bulk string runs on");
             if (bytes.size() < 2)
                 return std::nullopt;
--- a/src/net/resp/parser.hpp
+++ b/src/net/resp/parser.hpp
@@ -37,12 +37,13 @@
     /// Removes bytes from the front until a message is complete; empty if `bytes` ends before that. Throws
     /// Malformed as soon as no further bytes can make the message valid.
     std::optional<Value> take(std::string_view &bytes);
-    /// Whether no incomplete message is kept.
+    /// True if no part of a message has been parsed since the last complete message.
     bool is_between_messages() const { return !array_ && !bulk_; }
     /// The total length of the bulk strings of the incomplete message, as announced.
     std::size_t incomplete_bytes() const { return message_bytes_; }
-    /// The length of an array's first bulk string, while that is being received, if it is longer than a
-    /// client's may be. From then on take_first_part() may be called.
+    /// The announced length of an array's first bulk string, if that string is being received and is longer
+    /// than kMaxClientBulkBytes; else empty. Once a length has been returned, the caller may remove the
+    /// string in parts with take_first_part() until the message is complete.
     std::optional<std::size_t> long_first_length() const;
     /// Removes and returns the received bytes of an incomplete array's first bulk string.
     std::string take_first_part();
