--- a/src/app/distributor_stats.cpp
+++ b/src/app/distributor_stats.cpp
@@ -50,15 +50,15 @@
 }
 
 void append_answers(MetricsText &text, const ListServer &server) {
-    const auto &nodes = server.delivery(Channel::Nodes).figures();
-    const auto &documents = server.delivery(Channel::Documents).figures();
+    const auto &nodes = server.delivery(Channel::Nodes).metrics();
+    const auto &documents = server.delivery(Channel::Documents).metrics();
     text.counter("calls", nodes.calls + documents.calls);
-    text.counter("answers_nothing", nodes.nothing + documents.nothing);
+    text.counter("answers_nothing", nodes.no_change + documents.no_change);
     text.counter("answers_changes", nodes.changes + documents.changes);
-    text.counter("answers_whole", nodes.whole);
-    text.counter("documents.answers_whole", documents.whole);
+    text.counter("answers_whole", nodes.complete_lists);
+    text.counter("documents.answers_whole", documents.complete_lists);
     text.counter("answers_behind", nodes.behind + documents.behind);
-    text.counter("put_off", nodes.put_off + documents.put_off);
+    text.counter("put_off", nodes.deferred + documents.deferred);
 }
 
 void append_traffic(MetricsText &text, const ListServer &server, const discovery::DiscoveryMetrics &parent) {
