--- a/include/marblewood/events.hpp
+++ b/include/marblewood/events.hpp
@@ -150,7 +150,8 @@
         double latency_weight = 0; ///< decayed number of the latency samples
         Micros latency_updated = 0;
     };
-    /// When the process began to make decisions, or its first predecessor did.
+    /// When this process began to make decisions or, if it took over from other processes, when the first of
+    /// them began.
     Micros started_at = 0;
     std::vector<VolumeQuota> quotas;
     std::vector<NodeHistory> nodes;
--- a/include/marblewood/metrics.hpp
+++ b/include/marblewood/metrics.hpp
@@ -21,7 +21,7 @@
     std::uint64_t requested = 0;     ///< loan requests sent
     std::uint64_t registrations = 0; ///< registration messages sent to volumes' rendezvous hosts
     double units_lent = 0;
-    double units_borrowed = 0;   ///< units received before the loan expired
+    double units_borrowed = 0;   ///< units that other hosts granted and that arrived before the loan expired
     double units_used = 0;       ///< borrowed units that were spent
     double units_wasted = 0;     ///< borrowed units that expired unspent
     std::uint64_t malformed = 0; ///< messages that could not be parsed
--- a/include/marblewood/settings.hpp
+++ b/include/marblewood/settings.hpp
@@ -82,7 +82,8 @@
     /// Units per window that a node can take from all hosts together at its start; 0: not stated.
     double slow_start_units = 0;
 
-    /// in_order classes: pause of a key after an attempt that may still be running.
+    /// For classes with in_order: for how long no other request of a key is started after an attempt with an
+    /// unknown outcome, since the node may still be running it.
     Micros ordering_settle_time = 0;
 
     // Retry budget: retries in a window <= retry_budget_free + retry_budget_fraction x requests in that
--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -311,7 +311,8 @@
     return operations;
 }
 
-/// Executes an operator's call about cells; returns the HTTP status and text of the reply.
+/// Executes a call of the admin interface below /admin/cells and returns the HTTP status and text of the
+/// reply. This broker answers "here" itself; all other calls are passed to the cell coordinator.
 asio::awaitable<admin::Reply> Broker::cell_operation(std::string call, std::string body) {
     constexpr int kOk = 200;
     constexpr int kConflict = 409;
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -98,8 +98,9 @@
     Predecessor predecessor_;
 
     std::optional<discovery::DiscoveryClient> discovery_; // created after endpoints_, to which it reports
-    std::optional<list_distribution::DocumentWatch> documents_; // also reports to endpoints_
-    std::optional<gossip::GossipTransport> peers_;              // reports to dispatchers_
+    // Created after endpoints_, in which it sets the cordons that the configuration documents contain.
+    std::optional<list_distribution::DocumentWatch> documents_;
+    std::optional<gossip::GossipTransport> peers_; // passes the messages that it receives to dispatchers_
     net::EndpointRegistry::Dispatchers dispatchers_;
     core::Metrics metrics_;
     std::optional<net::otlp::Exporter> exporter_;
--- a/src/list_distribution/list_call.cpp
+++ b/src/list_distribution/list_call.cpp
@@ -22,7 +22,7 @@
     return value;
 }
 
-/// The name with all characters replaced that may not occur in a query.
+/// Shortens the name to kMaxNameBytes and replaces each character that may not occur in a query by '_'.
 std::string sanitize(std::string name) {
     constexpr std::size_t kMaxNameBytes = 64;
     if (name.size() > kMaxNameBytes)
--- a/src/list_distribution/list_call.hpp
+++ b/src/list_distribution/list_call.hpp
@@ -24,7 +24,7 @@
 /// A broker reports the version that it has applied, a distributor the sum of the reports that it has
 /// received.
 struct Report {
-    std::string caller; ///< empty: no report
+    std::string caller; ///< name of the broker or distributor that reports; empty: the call has no report
     std::optional<distribution::Revision> applied;
     std::optional<distribution::SubtreeReport> subtree;
 };
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -261,9 +261,9 @@
         std::ranges::count_if(clients_, [](const Client &client) { return client.use().closing; }));
 }
 
-// Logs the end of a connection, rate limited: of each one that was being closed while the broker is quiesced
-// or shuts down, otherwise only of those that took at least kSlowClose to close, and always of those that the
-// broker closed with unparsed input.
+// Logs the end of a connection if the broker had discarded unparsed input of it before shutting it down.
+// Otherwise logs it only if the broker was closing the connection, and either is quiesced or shutting down,
+// or took at least kSlowClose to close it. In all cases the number of lines is rate limited.
 void Clients::log_ended(const Client &client) {
     const Micros now = deadlines_.clock.now();
     const Micros took = now - client.closing.started_at;
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -19,33 +19,38 @@
 
 /// A client connection that is handed over from one process to another between two requests.
 struct HandedOverClient {
-    std::string front; // name of the front end that serves it
-    bool asked = false;
-    Micros since = 0;  // when the first byte of `bytes` was received
-    std::string bytes; // the part of its next request that has been read
+    std::string front;  // name of the front end that serves it
+    bool asked = false; // its client has already sent a request
+    Micros since = 0;   // when the first byte of `bytes` was received
+    std::string bytes;  // the part of its next request that has been read
     Descriptor descriptor;
 };
 
 /// The state of closing a client connection. Times are Unix time in microseconds.
 ///
 /// A client may keep sending requests, and one that pipelines always has a request open, so the broker does
-/// not wait for a pause. After kCrossingGrace new requests are refused at once; at `deadline` open requests
-/// are withdrawn and all new ones refused. The connection is shut down as soon as there is no open request
-/// and nothing left to write or to read; it is read until then.
+/// not wait until the connection is idle. Once kCrossingGrace has passed since the start of closing, it
+/// refuses new requests at once, except the first one of a connection. At `deadline` it withdraws the open
+/// requests (but see withdraw_lone_requests) and refuses all new ones. It shuts the connection down as soon
+/// as no request is open and nothing is left to write or to read, and reads from it until then.
 struct Closing {
-    /// For how long new requests are still served, as the client may have sent them before the close began.
+    /// For how long after the start of closing new requests are still served, as the client may have sent
+    /// them before the broker began to close the connection.
     static constexpr Micros kCrossingGrace = 100'000;
-    /// From the start of closing to the deadline, unless the process ends earlier. Long enough for a request
-    /// that takes 2 s to write.
+    /// Time from the start of closing to `deadline`; a shutdown of the process can set an earlier one. It is
+    /// long enough for a client that takes 2 s to send a request.
     static constexpr Micros kCloseTimeout = 2'200'000;
-    /// After the deadline, for the client to read its answers.
+    /// Time after `deadline` within which the client must read its answers.
     static constexpr Micros kFlushTimeout = 300'000;
-    /// After the deadline, for the rest of a partial request and the first request of a new connection.
+    /// Time after `deadline` for the rest of a partial request or the first request of a new connection to
+    /// arrive.
     static constexpr Micros kRemainderTimeout = 50'000;
 
-    /// After the accept, for which a connection is kept open: its client may send several requests in a row.
+    /// Time after its accept for which a closing connection is kept open, as the client may send several
+    /// requests in a row.
     static constexpr Micros kBurstGrace = 5'000;
-    /// For a client that has sent nothing yet at a quiesce: its first request may be in transit.
+    /// Time after a quiesce for which a connection that has received nothing is kept open, as its first
+    /// request may be in transit.
     static constexpr Micros kFirstByteTimeout = 20'000;
 
     Micros started_at = 0; ///< 0: the connection is not closing
@@ -67,8 +72,8 @@
     }
 };
 
-/// One client connection, as its front end sees it. The front end reports its use through
-/// EvictionOrder::Entry.
+/// One client connection, as its front end sees it. Through the functions of EvictionOrder::Entry the front
+/// end reports what the connection receives and which requests are open on it.
 struct Client : EvictionOrder::Entry {
     Client(tcp::socket s, EvictionOrder &order, Micros accepted, std::uint64_t number)
         : Entry(order, accepted), socket(std::move(s)), id(number) {}
@@ -109,16 +114,17 @@
     void begin_closing(CloseReason why, Micros now) {
         begin_closing_by(why, now, now + Closing::kCloseTimeout, false);
     }
-    /// Begins to close the connection because the broker is quiesced. A new one gets kFirstByteTimeout to
-    /// begin a request.
+    /// Begins to close the connection because the broker is quiesced. If nothing has been received on it yet,
+    /// it stays open for kFirstByteTimeout, in which the client can begin a request.
     void close_for_quiesce(Micros now) {
         if (use().closing)
             return;
         closing.first_byte_until = now + Closing::kFirstByteTimeout;
         begin_closing(CloseReason::Quiesce, now);
     }
-    /// Begins to close the connection at shutdown. A new one may stay open until kRemainderTimeout after
-    /// requests are withdrawn.
+    /// Begins to close the connection at shutdown, with the deadline `answer_all_at`. If nothing has been
+    /// received on it yet, it stays open until kNewcomerGrace after its accept, but at most until
+    /// kRemainderTimeout after the deadline.
     void close_for_shutdown(Micros now, Micros answer_all_at) {
         closing.first_byte_until = std::min(use().accepted + EvictionOrder::kNewcomerGrace,
                                             answer_all_at + Closing::kRemainderTimeout);
--- a/src/net/nvme/front.cpp
+++ b/src/net/nvme/front.cpp
@@ -49,14 +49,14 @@
           mapping_(mapping), controllers_(controllers) {}
     ~FrontSession() override { leave(); }
 
-    // Aborts a command of this queue; false if there is no such open command.
+    // Aborts a command of this queue. Returns false if the queue has no open command with this identifier.
     bool abort(std::uint16_t cid) {
         const auto it = commands_.find(cid);
         if (it == commands_.end())
             return false;
         bool may_have_run = false;
         if (it->second.request_handler) {
-            // Its outcome is not needed any more.
+            // The command is completed as aborted below, so the outcome of its request is not needed.
             it->second.request_handler->client_disconnected(it->second.id);
             may_have_run = it->second.write;
         }
@@ -188,7 +188,8 @@
         commands_[c.cid()].tag = last_tag_;
         const Micros deadline = commands_[c.cid()].received_at + mapping_.namespaces.at(c.nsid()).write_wait;
         t.timeout = deadlines_.at(deadline, [this, cid = c.cid()] {
-            complete(cid, {status::kTransferError, 0, false}); // no data in time: nothing has run
+            // The data did not arrive in time, so the command was not executed and the host may retry it.
+            complete(cid, {status::kTransferError, 0, false});
         });
         send(r2t(c.cid(), last_tag_, 0, length), 0);
     }
--- a/src/overload/quota_account.hpp
+++ b/src/overload/quota_account.hpp
@@ -30,7 +30,7 @@
     /// Another host that receives requests for the volume.
     struct Peer {
         Micros last_heard_at = 0;
-        Micros next_request_at = 0; ///< no request is sent to it before then, since it has lent nothing
+        Micros next_request_at = 0; ///< no loan request is sent to it earlier, as it has lent nothing
         Micros request_backoff = 0;
     };
 
@@ -39,8 +39,8 @@
     double burst = 0; ///< this host's part of the plan's burst
     double balance = 0;
     Micros refilled_at = 0; ///< when `balance` was last computed; 0: never
-    bool frozen = false;    ///< a successor process has taken over the balance: it is not refilled here, and
-                            ///< nothing is lent
+    bool frozen = false;    ///< a successor process has taken over the balance: this process does not
+                            ///< refill it and lends no units to other hosts
 
     std::deque<Loan> lent;                       ///< in the order in which they expire
     std::deque<Loan> borrowed;                   ///< in the order in which they expire
--- a/src/overload/slow_start_allocator.cpp
+++ b/src/overload/slow_start_allocator.cpp
@@ -127,7 +127,8 @@
     });
 }
 
-/// The next allocator in turn other than this host. Empty if this host is the only one.
+/// The host to ask for the next grant: the allocators of the parts of the budget take turns, and this host is
+/// skipped. Empty if this host is the allocator of every part.
 std::optional<int> SlowStartAllocator::next_allocator(SlowStartNode &node, Micros now) const {
     for (int attempt = 0; attempt < kAllocators; ++attempt) {
         const int part = node.next_allocator++ % kAllocators;
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -59,7 +59,8 @@
     static constexpr double kInitial = 2; ///< requests; the limit before the first answer
 
 private:
-    static constexpr double kGain = 0.8;          // less than 1 / target, so that the divisor stays positive
+    // Less than 1 / kTargetLatencyRatio, so that the divisor in update() stays positive.
+    static constexpr double kGain = 0.8;
     static constexpr double kRejectedRatio = 1.5; // lowest ratio that a rejection counts as
 
     LatencyAverage latency_;
--- a/src/policy/load_estimate.cpp
+++ b/src/policy/load_estimate.cpp
@@ -7,7 +7,8 @@
 
 // Bound on plausible service times, and on plausible numbers of requests queued ahead.
 constexpr Micros kMaxPlausible = 1'000'000'000;
-// A higher utilisation counts as this one: close to 1 the estimate of the queue length grows without bound.
+// Utilisations above this bound are replaced by it, because the estimated queue length, u / (1 - u), grows
+// without bound as the utilisation u approaches 1.
 constexpr double kMaxUtilisation = 0.95;
 
 bool is_plausible(const LoadReport &report) {
--- a/src/policy/priority.hpp
+++ b/src/policy/priority.hpp
@@ -21,7 +21,7 @@
         return now + static_cast<Micros>(kMinLatencyFraction * mean) <= request.objective_deadline;
     }
 
-    /// The priority of the request; `timely` as is_timely() tells.
+    /// The priority of the request; `timely` is the result of is_timely() for it.
     double weight(const Request &request, bool timely) const {
         const double late_factor = surplus_factor_ * request.request_class->late_priority_factor;
         return request.request_class->priority_weight * request.plan->priority_factor *
@@ -32,7 +32,8 @@
     /// is sent first.
     double band(const Request &request, const Node &node, bool timely) const;
 
-    /// Whether the request is charged to neither the reserve nor the share of its volume.
+    /// Whether the request is surplus: it was charged neither to the reserve of its volume nor to the
+    /// volume's share of the capacity.
     bool is_surplus(const Request &request) const { return request.quota_factor <= surplus_factor_; }
 
 private:
