--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -176,9 +176,9 @@
     e.peers = flag_or(top, "peers", false), e.relay = flag_or(top, "relay", false);
     e.shards = flag_or(top, "shards", false);
     if (root.isMember("lists"))
-        e.list_least = number(root["lists"], "late_from", 0),
-        e.list_most = number(root["lists"], "late_to", 0);
-    if (e.list_most < e.list_least)
+        e.min_list_delay = number(root["lists"], "late_from", 0),
+        e.max_list_delay = number(root["lists"], "late_to", 0);
+    if (e.max_list_delay < e.min_list_delay)
         throw Error("field 'lists': 'late_to' is before 'late_from'");
     if (root.isMember("node")) {
         const Json::Value &n = root["node"];
@@ -188,7 +188,7 @@
                   count(n, "queue", e.node.queue),
                   number(n, "cold_from", e.node.slow_start_initial_fraction),
                   number(n, "cold_s", e.node.cold_s),
-                  number(n, "put_off", e.node.put_off)};
+                  number(n, "put_off", e.node.early_answer_fraction)};
     }
     for (const Json::Value &v : root["volumes"])
         e.volumes.push_back({need_text(v, "plan"), count(v, "count", 1), need_number(v, "rate"),
@@ -205,15 +205,14 @@
         for (const Json::Value &n : f["to"])
             fault.to.insert(n.asInt());
         fault.lost = number(f, "lost", 0), fault.doubled = number(f, "doubled", 0);
-        fault.late_least = number(f, "late_from", 0),
-        fault.late_most = number(f, "late_to", fault.late_least);
+        fault.min_delay = number(f, "late_from", 0), fault.max_delay = number(f, "late_to", fault.min_delay);
         fault.times = number(f, "times", 1);
-        if (fault.late_most < fault.late_least)
+        if (fault.max_delay < fault.min_delay)
             throw Error("field 'faults': 'late_to' is before 'late_from'");
         if ((fault.what == "datagrams" || fault.what == "cut") && !e.peers)
             throw Error("field 'faults': brokers send no datagrams without 'peers' in 'topology'");
         if ((fault.what == "cut-nodes" || fault.what == "break-streams") && !e.relay)
-            throw Error("field 'faults': streams pass through no relay without 'relay' in 'topology'");
+            throw Error("field 'faults': faults of streams need 'relay' in 'topology'");
         e.faults.push_back(std::move(fault));
     }
     if (root.isMember("moves")) {
@@ -225,13 +224,13 @@
     e.checks = read_checks(root["checks"]);
     e.settings = root["settings"];
     const Settings settings = read_settings(e.settings, 0);
-    if (settings.poll_endpoint_list && e.list_most > 0)
-        throw Error("field 'lists': only lists that are pushed come late");
+    if (settings.poll_endpoint_list && e.max_list_delay > 0)
+        throw Error("field 'lists': delays apply only to pushed lists, not to polled ones");
     const auto has_plan = [&](const std::string &name) {
         for (const PlanSettings &p : settings.plans)
             if (p.name == name)
                 return;
-        throw Error(fmt::format("field 'plan': no plan is called '{}'", name));
+        throw Error(fmt::format("field 'plan': there is no plan named '{}'", name));
     };
     for (const VolumeKind &v : e.volumes)
         has_plan(v.plan);
@@ -246,10 +245,10 @@
     if (e.peers && !settings.peers)
         throw Error("field 'peers': 'bounds.peers' of the settings does not allow them");
     if (e.moves > 0 && (e.cells < 2 || e.moves_to <= e.moves_from))
-        throw Error("field 'moves': two cells and some time are needed");
+        throw Error("field 'moves': at least two cells are needed, and 'to' must be after 'from'");
     if (settings.classes.size() < 2 || settings.classes[0].idempotency != Idempotency::Idempotent ||
         settings.classes[1].idempotency != Idempotency::WithKey)
-        throw Error("field 'settings': wanted are a safe class to read with, then a keyed one to write with");
+        throw Error("field 'settings': the first class must be idempotent, the second idempotent by key");
     return e;
 }
 
--- a/src/lab/helpers.hpp
+++ b/src/lab/helpers.hpp
@@ -1,4 +1,5 @@
-// Small helpers that the parts of an experiment share.
+/// \file
+/// Helpers shared by the parts of an experiment.
 #pragma once
 
 #include "marblewood/scheduler.hpp"
@@ -18,14 +19,15 @@
     return {boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)};
 }
 
-/// A stream of random numbers of its own for each purpose, so that what one draws changes nothing for others.
+/// Returns an independent random generator per purpose and number, so that draws for one purpose do not
+/// change those for another.
 inline std::mt19937_64 stream(std::uint64_t seed, std::uint32_t purpose, std::uint32_t number = 0) {
     std::seed_seq seeds{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32), purpose,
                         number};
     return std::mt19937_64(seeds);
 }
 
-/// For coroutines whose failure must end the run.
+/// Completion handler for coroutines whose failure must end the run.
 inline void rethrow(const std::exception_ptr &error) {
     if (error)
         std::rethrow_exception(error);
--- a/src/lab/lists.cpp
+++ b/src/lab/lists.cpp
@@ -19,12 +19,12 @@
 }
 
 namespace {
-constexpr Micros kTick = 5'000;         // us between looks at whether there is news
-constexpr Micros kLongest = 60'000'000; // us for which a watch waits at most
+constexpr Micros kPollInterval = 5'000;
+constexpr Micros kMaxWatchTimeout = 60'000'000;
 } // namespace
 
-Lists::Lists(asio::io_context &io, core::Deadlines &deadlines, Model model, std::size_t brokers,
-             std::uint64_t seed)
+EmulatedDiscovery::EmulatedDiscovery(asio::io_context &io, core::Deadlines &deadlines, Model model,
+                                     std::size_t brokers, std::uint64_t seed)
     : io_(io), deadlines_(deadlines), model_(model), random_(seed) {
     for (std::size_t n = 0; n < brokers; ++n) {
         tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -32,48 +32,49 @@
         agents_.push_back(std::make_unique<Agent>(std::move(acceptor), port));
     }
 }
-int Lists::port(std::size_t broker) const {
+int EmulatedDiscovery::port(std::size_t broker) const {
     return agents_[broker]->port;
 }
 
-void Lists::start(const Members &members) {
+void EmulatedDiscovery::start(const MemberList &members) {
     for (std::size_t n = 0; n < agents_.size(); ++n) {
         agents_[n]->members = members(n);
         asio::co_spawn(io_, accept(*agents_[n]), asio::detached);
     }
 }
 
-void Lists::change(const Members &members, std::function<void()> told) {
+void EmulatedDiscovery::publish(const MemberList &members, std::function<void()> on_delivered) {
     ++version_;
     const auto left = std::make_shared<std::size_t>(agents_.size());
-    boost::random::uniform_int_distribution<Micros> delay(model_.least, std::max(model_.least, model_.most));
+    boost::random::uniform_int_distribution<Micros> delay(model_.min_delay,
+                                                          std::max(model_.min_delay, model_.max_delay));
     for (std::size_t n = 0; n < agents_.size(); ++n) {
         const Micros at = deadlines_.clock.now() + (model_.pushed ? delay(random_) : 0);
         asio::co_spawn(io_,
                        push(*agents_[n], at, version_, members(n),
-                            [left, told] {
-                                if (--*left == 0 && told)
-                                    told();
+                            [left, on_delivered] {
+                                if (--*left == 0 && on_delivered)
+                                    on_delivered();
                             }),
                        asio::detached);
     }
 }
 
-void Lists::silence(Micros length) {
-    silent_until_ = deadlines_.clock.now() + length;
+void EmulatedDiscovery::suspend_answers(Micros length) {
+    suspended_until_ = deadlines_.clock.now() + length;
 }
 
-asio::awaitable<void> Lists::push(Agent &agent, Micros at, int version, std::string members,
-                                  std::function<void()> told) {
+asio::awaitable<void> EmulatedDiscovery::push(Agent &agent, Micros at, int version, std::string members,
+                                              std::function<void()> on_delivered) {
     co_await rest(io_, at - deadlines_.clock.now());
-    while (deadlines_.clock.now() < silent_until_)
-        co_await rest(io_, silent_until_ - deadlines_.clock.now());
+    while (deadlines_.clock.now() < suspended_until_)
+        co_await rest(io_, suspended_until_ - deadlines_.clock.now());
     if (version > agent.version)
         agent.version = version, agent.members = std::move(members);
-    told();
+    on_delivered();
 }
 
-asio::awaitable<void> Lists::accept(Agent &agent) {
+asio::awaitable<void> EmulatedDiscovery::accept(Agent &agent) {
     for (;;) {
         auto socket =
             std::make_shared<tcp::socket>(co_await agent.acceptor.async_accept(asio::use_awaitable));
@@ -81,7 +82,7 @@
     }
 }
 
-asio::awaitable<void> Lists::serve(Agent &agent, std::shared_ptr<tcp::socket> socket) {
+asio::awaitable<void> EmulatedDiscovery::serve(Agent &agent, std::shared_ptr<tcp::socket> socket) {
     std::string in;
     boost::system::error_code error;
     while (!error) {
@@ -97,11 +98,11 @@
             return at == std::string::npos ? otherwise : std::atoi(head.c_str() + at + name.size());
         };
         const int seen = number("since=", -1);
-        const Micros until =
-            deadlines_.clock.now() + std::clamp<Micros>(number("timeout_ms=", 0) * 1000LL, 0, kLongest);
-        while (deadlines_.clock.now() < silent_until_ ||
+        const Micros until = deadlines_.clock.now() +
+                             std::clamp<Micros>(number("timeout_ms=", 0) * 1000LL, 0, kMaxWatchTimeout);
+        while (deadlines_.clock.now() < suspended_until_ ||
                (agent.version <= seen && deadlines_.clock.now() < until))
-            co_await rest(io_, kTick);
+            co_await rest(io_, kPollInterval);
         const std::string body =
             fmt::format(R"({{"revision":{},"complete":true,"members":[{}]}})", agent.version, agent.members);
         const std::string out =
--- a/src/lab/lists.hpp
+++ b/src/lab/lists.hpp
@@ -1,5 +1,6 @@
-// Discovery as an experiment's brokers meet it: one service that all ask, or an agent beside each broker to
-// which changes are pushed late, as the brokers' settings say.
+/// \file
+/// Emulated discovery for the brokers of an experiment. Depending on the brokers' settings, brokers poll one
+/// central service, or an agent next to each broker receives pushed changes after a delay.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -14,24 +15,31 @@
 
 namespace marblewood::lab {
 
-boost::asio::awaitable<void> rest(boost::asio::io_context &io, Micros length); // us
+boost::asio::awaitable<void> rest(boost::asio::io_context &io, Micros length);
 
-class Lists {
+/// Serves the endpoint list over HTTP long polling, one agent (with its own port and copy of the list) per
+/// broker.
+class EmulatedDiscovery {
 public:
     using tcp = boost::asio::ip::tcp;
     struct Model {
         bool pushed = false;
-        Micros least = 0, most = 0; // until a change reaches an agent, drawn for each
+        // A pushed change reaches each agent after a random delay within these bounds.
+        Micros min_delay = 0, max_delay = 0;
     };
-    Lists(boost::asio::io_context &io, core::Deadlines &deadlines, Model model, std::size_t brokers,
-          std::uint64_t seed);
-    int port(std::size_t broker) const;                             // where that broker asks
-    using Members = std::function<std::string(std::size_t broker)>; // as that broker is told of them
-    void start(const Members &members);                             // serves, with what all know at first
-    // A new version. `told`, where given, is called once every agent has it.
-    void change(const Members &members, std::function<void()> told = nullptr);
-    // Calls are taken and none is answered; what would be pushed comes afterwards.
-    void silence(Micros length);
+    EmulatedDiscovery(boost::asio::io_context &io, core::Deadlines &deadlines, Model model,
+                      std::size_t brokers, std::uint64_t seed);
+    /// Port at which the agent of this broker listens.
+    int port(std::size_t broker) const;
+    /// Returns the member list as JSON with the addresses under which this broker reaches the nodes.
+    using MemberList = std::function<std::string(std::size_t broker)>;
+    /// Starts serving the initial lists.
+    void start(const MemberList &members);
+    /// Publishes a new revision of the lists. Calls `on_delivered`, if given, once every agent has received
+    /// it.
+    void publish(const MemberList &members, std::function<void()> on_delivered = nullptr);
+    /// For this time, requests are accepted but not answered, and pushed changes are held back until it ends.
+    void suspend_answers(Micros length);
 
 private:
     struct Agent {
@@ -42,16 +50,16 @@
     boost::asio::awaitable<void> accept(Agent &agent);
     boost::asio::awaitable<void> serve(Agent &agent, std::shared_ptr<tcp::socket> socket);
     boost::asio::awaitable<void> push(Agent &agent, Micros at, int version, std::string members,
-                                      std::function<void()> told);
+                                      std::function<void()> on_delivered);
 
     boost::asio::io_context &io_;
     core::Deadlines &deadlines_;
     Model model_;
-    std::vector<std::unique_ptr<Agent>>
-        agents_; // by broker; where lists are asked for, all as late as each other
+    // By broker. When brokers poll, all agents get a change at the same time.
+    std::vector<std::unique_ptr<Agent>> agents_;
     std::mt19937_64 random_;
     int version_ = 1;
-    Micros silent_until_ = 0;
+    Micros suspended_until_ = 0;
 };
 
 } // namespace marblewood::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,4 +1,5 @@
-// marblewood-lab: runs experiments against real brokers. docs/laboratory.md.
+/// \file
+/// marblewood-lab runs experiments with real brokers; see docs/laboratory.md.
 #include "config/config.hpp"
 #include "lab/report.hpp"
 #include "lab/scale/experiment.hpp"
@@ -15,33 +16,34 @@
 
 namespace {
 
-// 0: all checks hold; 1: one does not.
+// Returns the exit code: 0 if all checks hold, else 1.
 int run(const lab::Experiment &experiment, std::uint64_t seed, const std::filesystem::path &out) {
-    const auto off = [&](const char *what) {
+    const auto left_out = [&](const char *what) {
         return std::count(experiment.without.begin(), experiment.without.end(), what) > 0;
     };
     lab::Series base_series;
     std::map<std::string, double> base;
     if (!experiment.without.empty()) {
-        fmt::print("{}, seed {}: the run to compare with, {} s\n", experiment.name, seed, experiment.seconds);
+        fmt::print("{}, seed {}: baseline run, {} s\n", experiment.name, seed, experiment.seconds);
         std::filesystem::create_directories(out / "base");
-        auto *const world = new lab::World(experiment, seed, out / "base",
-                                           {!off("surges"), !off("faults"), !off("moves"), !off("talk")});
-        base = world->run();
-        base_series = world->series();
+        auto *const testbed = new lab::Testbed(
+            experiment, seed, out / "base",
+            {!left_out("surges"), !left_out("faults"), !left_out("moves"), !left_out("talk")});
+        base = testbed->run();
+        base_series = testbed->series();
     }
     fmt::print("{}, seed {}: {} s\n", experiment.name, seed, experiment.seconds);
-    auto *const world = new lab::World(experiment, seed, out / "run", {});
-    auto metrics = world->run();
+    auto *const testbed = new lab::Testbed(experiment, seed, out / "run", {});
+    auto metrics = testbed->run();
     if (!base.empty())
         lab::compare(experiment, metrics, base);
     const auto verdicts = lab::judge(experiment.checks, metrics);
     lab::print(metrics, verdicts);
-    lab::write_result(out, experiment, seed, metrics, verdicts, world->series());
-    const bool drawn = lab::plot(out, experiment, world->series(), base_series);
+    lab::write_result(out, experiment, seed, metrics, verdicts, testbed->series());
+    const bool plotted = lab::plot(out, experiment, testbed->series(), base_series);
     fmt::print("\n{}{}\n", (out / "result.json").string(),
-               drawn ? fmt::format(", {}", (out / "service.svg").string())
-                     : " (no plot: there is no gnuplot)");
+               plotted ? fmt::format(", {}", (out / "service.svg").string())
+                       : " (no plot: there is no gnuplot)");
     return std::all_of(verdicts.begin(), verdicts.end(), [](const lab::Verdict &v) { return v.holds; }) ? 0
                                                                                                         : 1;
 }
@@ -59,7 +61,7 @@
     return std::all_of(verdicts.begin(), verdicts.end(), holds) ? 0 : 1;
 }
 
-// What a file holds: the one kind of experiment or the other.
+// Content of an experiment file; exactly one of the two is set.
 struct Task {
     std::optional<lab::Experiment> experiment;
     std::optional<lab::scale::Plan> plan;
@@ -97,21 +99,23 @@
     CLI::App app{"marblewood-lab, experiments with brokers, keepers and emulated nodes on loopback"};
     auto *command =
         app.add_subcommand("run", "run an experiment: 0 if all its checks hold, 1 if not, 2 on bad input");
-    auto *scale = app.add_subcommand("scale", "run a scale experiment, in the same way (docs/CAPACITY.md)");
-    auto *check = app.add_subcommand("check", "read an experiment and say what is wrong with it");
-    auto *check_scale = app.add_subcommand("check-scale", "the same for a scale experiment");
-    auto *hollow = app.add_subcommand("hollow", "hollow brokers, as scale experiments start them");
+    auto *scale =
+        app.add_subcommand("scale", "run a scale experiment, with the same exit codes (docs/CAPACITY.md)");
+    auto *check = app.add_subcommand("check", "validate an experiment file without running it");
+    auto *check_scale =
+        app.add_subcommand("check-scale", "validate a scale experiment file without running it");
+    auto *hollow = app.add_subcommand("hollow", "run hollow brokers; started by scale experiments");
     app.require_subcommand(1);
     std::string file, out = "lab-out";
     std::uint64_t seed = 1;
     double seconds = 0;
     for (auto *sub : {command, scale, check, check_scale, hollow})
-        sub->add_option("file", file, "the experiment")->required();
+        sub->add_option("file", file, "the experiment file")->required();
     for (auto *sub : {command, scale}) {
-        sub->add_option("--seed", seed, "of all that is drawn")->capture_default_str();
-        sub->add_option("--out", out, "the folder for what it writes")->capture_default_str();
+        sub->add_option("--seed", seed, "seed of all random choices")->capture_default_str();
+        sub->add_option("--out", out, "output folder")->capture_default_str();
     }
-    command->add_option("--seconds", seconds, "another length of the load");
+    command->add_option("--seconds", seconds, "duration of the load in seconds, instead of that in the file");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError &error) {
@@ -139,5 +143,5 @@
         fmt::print(stderr, "marblewood-lab: {}\n", error.what());
     }
     std::fflush(nullptr);
-    std::quick_exit(code); // the worlds' loops still hold coroutines: see World
+    std::quick_exit(code); // Runs no destructors: the event loops still hold coroutines, see Testbed.
 }
--- a/src/lab/network_faults.cpp
+++ b/src/lab/network_faults.cpp
@@ -8,24 +8,25 @@
 
 std::vector<Micros> NetworkFaults::arrivals(int from, int to, Micros now) {
     std::vector<Micros> copies{0};
-    for (const Spell &spell : spells_) {
-        if (!spell.holds(false, from, to, now))
+    for (const FaultInterval &interval : intervals_) {
+        if (!interval.applies(false, from, to, now))
             continue;
-        if (spell.cut || boost::random::bernoulli_distribution<double>(spell.lost)(random_))
+        if (interval.cut || boost::random::bernoulli_distribution<double>(interval.lost)(random_))
             return {};
-        if (boost::random::bernoulli_distribution<double>(spell.doubled)(random_))
+        if (boost::random::bernoulli_distribution<double>(interval.doubled)(random_))
             copies.push_back(copies.front());
-        boost::random::uniform_int_distribution<Micros> late(spell.late_least,
-                                                             std::max(spell.late_least, spell.late_most));
+        boost::random::uniform_int_distribution<Micros> delay(
+            interval.min_delay, std::max(interval.min_delay, interval.max_delay));
         for (Micros &copy : copies)
-            copy += late(random_);
+            copy += delay(random_);
     }
     return copies;
 }
 
 bool NetworkFaults::silent(int broker, int node, Micros now) const {
-    return std::ranges::any_of(
-        spells_, [&](const Spell &spell) { return spell.cut && spell.holds(true, broker, node, now); });
+    return std::ranges::any_of(intervals_, [&](const FaultInterval &interval) {
+        return interval.cut && interval.applies(true, broker, node, now);
+    });
 }
 
 } // namespace marblewood::lab
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -1,4 +1,5 @@
-// The emulated storage nodes of an experiment.
+/// \file
+/// The emulated storage nodes of an experiment.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -16,45 +17,55 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// One storage node. Its cores take requests in the order of arrival; what waits beyond its queue is turned
-// away.
+/// One storage node. Its cores process requests in order of arrival; when the queue is full, further requests
+/// are rejected with BUSY.
 class EmulatedNode {
 public:
-    struct DispatcherCallbacks { // what nodes of an experiment share
-        std::function<void(const std::string &id, std::uint64_t volume, double units)> taken;
-        std::function<void(const std::string &key)> ran; // a keyed write has begun
-        std::map<std::string, Micros> &keys;             // of its group: when they were first sent
-        Micros window = 0;
+    /// Callbacks into the experiment, and the state that the nodes of a cell share.
+    struct NodeCallbacks {
+        /// Called for every request that arrives, whether or not it is rejected.
+        std::function<void(const std::string &id, std::uint64_t volume, double units)> on_request;
+        /// Called when a write with an idempotency key is executed.
+        std::function<void(const std::string &key)> on_keyed_write;
+        /// Idempotency keys known to the cell, with the time of their last execution.
+        std::map<std::string, Micros> &keys;
+        Micros deduplication_window = 0;
     };
     EmulatedNode(asio::io_context &io, core::Deadlines &deadlines, std::string name, const NodeModel &model,
-                 Micros slow_start_window, std::uint64_t seed, DispatcherCallbacks around);
+                 Micros slow_start_window, std::uint64_t seed, NodeCallbacks callbacks);
     void start();
-    void drain(bool on) { draining_ = on, drain_told_ = 0, drains_ += on; }
-    // Every broker has been told of this drain. What still comes after `grace` is counted.
-    void told_of_drain(int drain, Micros grace) {
-        if (draining_ && drain == drains_ && drain_told_ == 0)
-            drain_told_ = deadlines_.clock.now() + grace;
+    void drain(bool on) { draining_ = on, drain_effective_at_ = 0, drains_ += on; }
+    /// Called once all brokers have received the given drain. Requests that arrive more than `grace` later
+    /// are counted by sent_after_drain().
+    void drain_delivered(int drain, Micros grace) {
+        if (draining_ && drain == drains_ && drain_effective_at_ == 0)
+            drain_effective_at_ = deadlines_.clock.now() + grace;
     }
-    int drains() const { return drains_; } // so far
-    int sent_after_drain() const { return after_drain_; }
+    /// Number of drains so far; identifies the current one.
+    int drains() const { return drains_; }
+    int sent_after_drain() const { return requests_after_drain_; }
+    /// Sends no response and processes nothing for this time; connections stay open.
     void pause(Micros length);
-    void slow(double times) { slow_ = times; } // from now on
-    // Ends all connections, answers nothing for this long, then is cold.
+    /// Multiplies the processing time of requests that arrive from now on.
+    void set_slowdown(double times) { slowdown_ = times; }
+    /// Closes all connections, rejects new ones for this time, then starts cold (see NodeModel).
     void restart(Micros down);
 
     const std::string &name() const { return name_; }
     int port() const { return port_; }
     bool draining() const { return draining_; }
     Micros up_since() const { return up_since_; }
-    double cold_worst() const { return cold_.worst(); }
-    double slow_start_units() const { return cold_units_; } // sent here while it was cold
-    Micros cold_time() const { return cold_from_; }         // when it was last cold from, 0: never
+    double slow_start_worst_ratio() const { return slow_start_.worst_ratio(); }
+    /// Units received while the node was below its full speed.
+    double slow_start_units() const { return slow_start_units_; }
+    /// Time of the last cold start; 0 if there was none.
+    Micros cold_since() const { return cold_since_; }
 
 private:
     asio::awaitable<void> accept();
     asio::awaitable<void> serve(std::list<tcp::socket>::iterator client);
     asio::awaitable<std::string> answer(const net::resp::Value &command);
-    asio::awaitable<void> until(Micros when);
+    asio::awaitable<void> sleep_until(Micros when);
 
     asio::io_context &io_;
     core::Deadlines &deadlines_;
@@ -63,16 +74,16 @@
     tcp::acceptor acceptor_;
     int port_ = 0;
     std::mt19937_64 random_;
-    DispatcherCallbacks around_;
-    ColdWatch cold_;
-    std::vector<Micros> cores_; // when each is free
+    NodeCallbacks callbacks_;
+    SlowStartMonitor slow_start_;
+    std::vector<Micros> cores_; // the time at which each core becomes idle
     std::list<tcp::socket> clients_;
-    int held_ = 0;
+    int in_flight_ = 0;
     bool draining_ = false;
-    Micros down_until_ = 0, paused_until_ = 0, up_since_ = 0, drain_told_ = 0;
-    int after_drain_ = 0, drains_ = 0;
-    double slow_ = 1, cold_units_ = 0;
-    Micros cold_from_ = 0;
+    Micros down_until_ = 0, paused_until_ = 0, up_since_ = 0, drain_effective_at_ = 0;
+    int requests_after_drain_ = 0, drains_ = 0;
+    double slowdown_ = 1, slow_start_units_ = 0;
+    Micros cold_since_ = 0;
     std::uint64_t generation_ = 0;
 };
 
--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -1,4 +1,5 @@
-// Processes that an experiment starts, and what they need of the machine.
+/// \file
+/// Child processes of an experiment, and the ports and program path that they need.
 #pragma once
 
 #include <string>
@@ -7,18 +8,19 @@
 
 namespace marblewood::lab {
 
-/// A loopback port that nobody holds at the moment, below those that the system gives to clients.
+/// Returns a loopback port that is currently free and below the range of ephemeral ports.
 int free_port();
-/// The broker's program, which lies beside the laboratory's.
+/// Path of the broker program, in the same folder as this one.
 std::string program_path();
 
-/// A child process, which ends with its parent. What it writes goes to `log`.
+/// A child process that the kernel kills when its parent ends. Its stdout and stderr are appended to `log`.
 struct Process {
     std::vector<std::string> command;
     std::string log;
     pid_t pid = -1;
     void start();
-    void kill(); // outright, and waits for its end
+    /// Sends SIGKILL and waits for the process to end.
+    void kill();
     void signal(int number) const;
 };
 
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -11,24 +11,24 @@
 
 namespace asio = boost::asio;
 namespace {
-constexpr Micros kTick = 5'000; // us between looks at whether it is still silent
+constexpr Micros kSilenceCheckInterval = 5'000;
 
-template <typename Protocol> typename Protocol::endpoint local(int port) {
+template <typename Protocol> typename Protocol::endpoint loopback_endpoint(int port) {
     return {asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)};
 }
 } // namespace
 
 DatagramRelay::DatagramRelay(asio::io_context &io, core::Deadlines &deadlines, NetworkFaults &network_faults,
-                             std::vector<int> listens, std::vector<int> groups)
-    : io_(io), deadlines_(deadlines), network_faults_(network_faults), listens_(std::move(listens)),
+                             std::vector<int> listen_ports, std::vector<int> groups)
+    : io_(io), deadlines_(deadlines), network_faults_(network_faults), listen_ports_(std::move(listen_ports)),
       groups_(std::move(groups)) {
-    for (int from = 0; from < static_cast<int>(listens_.size()); ++from)
-        for (int to = 0; to < static_cast<int>(listens_.size()); ++to)
+    for (int from = 0; from < static_cast<int>(listen_ports_.size()); ++from)
+        for (int to = 0; to < static_cast<int>(listen_ports_.size()); ++to)
             if (groups_[static_cast<std::size_t>(from)] == groups_[static_cast<std::size_t>(to)])
-                sockets_.emplace(std::pair(from, to), udp::socket(io, local<udp>(0)));
+                sockets_.emplace(std::pair(from, to), udp::socket(io, loopback_endpoint<udp>(0)));
 }
 int DatagramRelay::port(int broker, int peer) const {
-    return broker == peer ? listens_[static_cast<std::size_t>(broker)]
+    return broker == peer ? listen_ports_[static_cast<std::size_t>(broker)]
                           : sockets_.at({broker, peer}).local_endpoint().port();
 }
 int DatagramRelay::port_to_all(int broker) const {
@@ -45,37 +45,38 @@
     for (;;) {
         udp::endpoint sender;
         boost::system::error_code error;
-        const std::size_t got = co_await socket.async_receive_from(
+        const std::size_t size = co_await socket.async_receive_from(
             asio::buffer(data), sender, asio::redirect_error(asio::use_awaitable, error));
         if (error == asio::error::operation_aborted)
             co_return;
-        if (error || sender.port() != listens_[static_cast<std::size_t>(from)])
-            continue; // not that broker's
+        if (error || sender.port() != listen_ports_[static_cast<std::size_t>(from)])
+            continue; // The datagram is not from the broker that this socket belongs to.
         for (const auto &[pair, other] : sockets_) {
             if (pair.first != from || pair.second == from || (to >= 0 && pair.second != to))
                 continue;
-            ++sent_, bytes_ += got;
+            ++sent_, bytes_ += size;
             const auto copies = network_faults_.arrivals(from, pair.second, deadlines_.clock.now() - start_);
             if (copies.empty())
                 ++lost_;
-            for (const Micros late : copies)
-                asio::co_spawn(io_, deliver(from, pair.second, std::string(data.data(), got), late),
+            for (const Micros delay : copies)
+                asio::co_spawn(io_, deliver(from, pair.second, std::string(data.data(), size), delay),
                                asio::detached);
         }
     }
 }
-asio::awaitable<void> DatagramRelay::deliver(int from, int to, std::string data, Micros late) {
-    if (late > 0)
-        co_await rest(io_, late);
+asio::awaitable<void> DatagramRelay::deliver(int from, int to, std::string data, Micros delay) {
+    if (delay > 0)
+        co_await rest(io_, delay);
     boost::system::error_code ignored;
     sockets_.at({to, from})
-        .send_to(asio::buffer(data), local<udp>(listens_[static_cast<std::size_t>(to)]), 0, ignored);
+        .send_to(asio::buffer(data), loopback_endpoint<udp>(listen_ports_[static_cast<std::size_t>(to)]), 0,
+                 ignored);
 }
 
 StreamRelay::StreamRelay(asio::io_context &io, core::Deadlines &deadlines, int target,
                          std::function<bool()> silent)
     : io_(io), deadlines_(deadlines), target_(target), silent_(std::move(silent)),
-      acceptor_(io, local<tcp>(0)) {
+      acceptor_(io, loopback_endpoint<tcp>(0)) {
     port_ = acceptor_.local_endpoint().port();
 }
 void StreamRelay::start() {
@@ -84,7 +85,7 @@
 void StreamRelay::Pair::close() {
     boost::system::error_code ignored;
     for (tcp::socket *socket : {&broker, &node}) {
-        socket->set_option(asio::socket_base::linger(true, 0), ignored); // the other side sees a reset
+        socket->set_option(asio::socket_base::linger(true, 0), ignored); // Makes close() send a reset.
         socket->close(ignored);
     }
 }
@@ -106,9 +107,9 @@
 }
 asio::awaitable<void> StreamRelay::serve(std::shared_ptr<Pair> pair) {
     while (silent_())
-        co_await rest(io_, kTick);
-    const auto error =
-        co_await net::dial(pair->node, local<tcp>(target_), deadlines_.clock.now() + 1'000'000, deadlines_);
+        co_await rest(io_, kSilenceCheckInterval);
+    const auto error = co_await net::dial(pair->node, loopback_endpoint<tcp>(target_),
+                                          deadlines_.clock.now() + 1'000'000, deadlines_);
     if (error)
         co_return pair->close();
     boost::system::error_code ignored;
@@ -121,12 +122,12 @@
     for (;;) {
         boost::system::error_code error = co_await net::read_more(from, data);
         while (silent_() && from.is_open())
-            co_await rest(io_, kTick);
+            co_await rest(io_, kSilenceCheckInterval);
         if (!error)
             co_await asio::async_write(to, asio::buffer(data),
                                        asio::redirect_error(asio::use_awaitable, error));
         data.clear();
-        if (error == asio::error::eof) { // the one side has ended: so the other is told
+        if (error == asio::error::eof) { // Passes the half-close on; the other direction stays open.
             to.shutdown(tcp::socket::shutdown_send, error);
             co_return;
         }
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -1,4 +1,5 @@
-// What a run says: a table, result.json, and a plot.
+/// \file
+/// Results of a run: a printed table, result.json and a plot.
 #pragma once
 
 #include "lab/experiment.hpp"
@@ -9,14 +10,15 @@
 
 struct Verdict {
     Check check;
-    std::optional<double> value; // empty: there is no such figure
+    std::optional<double> value; // empty if the run produced no such metric
     bool holds = false;
 };
-// Each check against the figures. One whose figure is missing does not hold.
+/// Evaluates each check against the metrics. A check whose metric is missing does not hold.
 std::vector<Verdict> judge(const std::vector<Check> &checks, const std::map<std::string, double> &metrics);
 Json::Value to_json(const std::vector<Verdict> &verdicts);
 
-// Figures of a run beside those of the run it is compared with: kept.*, and all of that run's as base.*
+/// Adds the comparison with the baseline run to the metrics: kept.* and of_base.* as ratios to the baseline,
+/// and all metrics of the baseline as base.*.
 void compare(const Experiment &experiment, std::map<std::string, double> &metrics,
              const std::map<std::string, double> &base);
 
@@ -25,7 +27,7 @@
                   const std::map<std::string, double> &metrics, const std::vector<Verdict> &verdicts,
                   const Series &series);
 void print(const std::map<std::string, double> &metrics, const std::vector<Verdict> &verdicts);
-// By gnuplot; false where there is none.
+/// Draws service.svg with gnuplot; returns false if there is no data or gnuplot is missing or fails.
 bool plot(const std::filesystem::path &folder, const Experiment &experiment, const Series &series,
           const Series &base);
 
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -1,5 +1,6 @@
-// What stands round the brokers in an experiment, all on one loop: emulated nodes, discovery, clients; and
-// the brokers and the keeper themselves, as processes.
+/// \file
+/// Test environment of an experiment. Emulated nodes, discovery and clients share one event loop; the brokers
+/// and the cell coordinator run as child processes.
 #pragma once
 
 #include "cells/cell_map.hpp"
@@ -25,20 +26,23 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-struct Drawn : Asking { // drawn ahead of the run
-    std::string piece, key;
-    std::uint64_t luck = 0;
+/// A client request that is generated before the run starts.
+struct PlannedRequest : ClientRequest {
+    std::string object_id, key;
+    std::uint64_t random_bits = 0;
 };
 
-// Its coroutines refer to it for as long as its loop exists, so it is never destroyed: end() ends its
-// processes.
-class World {
+/// Runs one experiment. Its coroutines refer to it as long as the event loop exists, so it must never be
+/// destroyed; end() kills its processes.
+class Testbed {
 public:
-    struct Parts { // what of the experiment is played
+    /// The parts of the experiment that this run includes; a baseline run leaves some out.
+    struct EnabledParts {
         bool surges = true, faults = true, moves = true, talk = true;
     };
-    World(const Experiment &experiment, std::uint64_t seed, std::filesystem::path folder, Parts parts);
-    std::map<std::string, double> run(); // takes the experiment's time
+    Testbed(const Experiment &experiment, std::uint64_t seed, std::filesystem::path folder,
+            EnabledParts parts);
+    std::map<std::string, double> run(); // blocks for the duration of the experiment
     void end();
     const std::map<int, std::vector<double>> &series() const { return oracle_->series(); }
 
@@ -47,67 +51,76 @@
         std::string name;
         int cell = 0, port = 0, link = 0, peer = 0, control = 0;
         Process process;
-        Micros killed = 0;
-        Micros stopped = 0, woken = 0; // last paused from, and until
-        std::list<std::pair<Micros, std::unique_ptr<tcp::socket>>> idle;
+        Micros killed_at = 0;
+        Micros stopped_at = 0, resumed_at = 0; // start and end of the last pause
+        std::list<std::pair<Micros, std::unique_ptr<tcp::socket>>> idle_connections;
     };
     struct Volume {
         VolumeId id{};
         int plan = 0, cell = 0;
         std::vector<int> brokers;
-        std::string spelt;
+        std::string id_text;
         double busiest = 0;
         Micros shift = 0;
     };
-    int broker_for(const Volume &volume, std::uint64_t luck) const;
+    int broker_for(const Volume &volume, std::uint64_t random_bits) const;
 
-    void lay_out();
-    void draw();
+    void create_topology();
+    void plan_requests();
     void write_settings();
-    std::string listed(std::size_t broker) const;
-    void changed();
-    asio::awaitable<void> play();
-    asio::awaitable<bool> ready();
-    asio::awaitable<void> request(const Drawn &drawn);
-    asio::awaitable<void> fault(Fault fault);
-    asio::awaitable<void> move(double at, std::uint64_t luck);
-    asio::awaitable<std::optional<std::pair<int, std::string>>> keeper(std::string method, std::string path,
-                                                                       std::string body);
+    std::string member_list(std::size_t broker) const;
+    void publish_member_lists();
+    asio::awaitable<void> run_experiment();
+    asio::awaitable<bool> wait_until_ready();
+    asio::awaitable<void> run_request(const PlannedRequest &planned);
+    asio::awaitable<void> inject_fault(Fault fault);
+    asio::awaitable<void> start_move(double at, std::uint64_t random_bits);
+    asio::awaitable<std::optional<std::pair<int, std::string>>>
+    call_coordinator(std::string method, std::string path, std::string body);
     asio::awaitable<void> rest(Micros length) { return lab::rest(io_, length); }
-    asio::awaitable<void> count_moves();
-    struct Got {
-        enum class Kind { Value, Busy, Error, Refused, Broken, Crossed, Silent } kind = Kind::Silent;
+    asio::awaitable<void> save_move_counts();
+    struct Reply {
+        enum class Kind {
+            Value,
+            Busy,
+            Error,
+            Refused,
+            Broken,
+            ClosedWhileIdle,
+            TimedOut
+        } kind = Kind::TimedOut;
         std::string text;
     };
-    asio::awaitable<Got> ask(Broker &broker, std::string command, Micros until);
+    asio::awaitable<Reply> send_command(Broker &broker, std::string command, Micros until);
 
     const Experiment &experiment_;
     const Settings settings_;
     std::uint64_t seed_;
     std::filesystem::path folder_;
-    Parts parts_;
+    EnabledParts parts_;
     asio::io_context io_{1};
     core::Clock clock_;
     core::Deadlines deadlines_{io_, clock_};
     cells::CellMap map_;
     std::vector<Broker> brokers_;
-    Process keeper_;
-    int keeper_link_ = 0, keeper_control_ = 0;
-    std::optional<Lists> lists_;
+    Process coordinator_;
+    int coordinator_link_ = 0, coordinator_control_ = 0;
+    std::optional<EmulatedDiscovery> discovery_;
     NetworkFaults network_faults_;
     std::optional<DatagramRelay> datagrams_;
-    std::vector<std::unique_ptr<StreamRelay>> streams_; // by broker and node, where there is a relay
-    std::vector<std::map<std::string, Micros>> keys_;   // by cell
+    std::vector<std::unique_ptr<StreamRelay>> streams_; // by broker and node; empty without a relay
+    std::vector<std::map<std::string, Micros>> keys_by_cell_;
     std::vector<std::unique_ptr<EmulatedNode>> nodes_;
     std::vector<Volume> volumes_;
     std::unordered_map<std::uint64_t, int> volume_numbers_;
-    std::vector<Drawn> drawn_;
-    std::unordered_set<std::string> charged_;       // ids that have reached a node
-    std::unordered_map<std::string, Micros> tries_; // by id: when its client first asked
+    std::vector<PlannedRequest> planned_requests_;
+    std::unordered_set<std::string> charged_ids_; // ids of attempts that have reached a node
+    // Time of the client's first attempt, by the id of each attempt.
+    std::unordered_map<std::string, Micros> first_attempt_at_;
     std::optional<Oracle> oracle_;
     Micros start_ = 0;
-    int open_ = 0, moves_refused_ = 0, moves_lost_ = 0, busy_ = 0;
-    double completed_before_ = 0, undone_before_ = 0; // by keepers that were killed
+    int open_requests_ = 0, moves_refused_ = 0, moves_not_begun_ = 0, pending_actions_ = 0;
+    double moves_completed_before_ = 0, moves_undone_before_ = 0; // by coordinator processes that were killed
     std::uint64_t last_id_ = 0;
     std::map<std::string, double> metrics_;
 };
--- a/src/lab/world_faults.cpp
+++ b/src/lab/world_faults.cpp
@@ -7,7 +7,7 @@
 
 namespace marblewood::lab {
 
-asio::awaitable<void> World::fault(Fault f) {
+asio::awaitable<void> Testbed::inject_fault(Fault f) {
     co_await rest(start_ + micros(f.at) - clock_.now());
     const auto broker = [&]() -> Broker & {
         return brokers_[static_cast<std::size_t>(f.cell * experiment_.brokers +
@@ -18,83 +18,84 @@
     };
     fmt::print("  {:6.2f} s {} cell {} index {} for {} s\n", f.at, f.what, f.cell, f.index, f.length);
     if (f.what == "kill-keeper") {
-        co_await count_moves(); // its counts go with it
-        keeper_.kill();
+        co_await save_move_counts(); // The counters are lost with the process.
+        coordinator_.kill();
         co_await rest(micros(f.length));
-        keeper_.start();
+        coordinator_.start();
     } else if (f.what == "stop-keeper") {
-        keeper_.signal(SIGSTOP);
+        coordinator_.signal(SIGSTOP);
         co_await rest(micros(f.length));
-        keeper_.signal(SIGCONT);
+        coordinator_.signal(SIGCONT);
     } else if (f.what == "stop-broker") {
-        broker().stopped = clock_.now(), broker().woken = INT64_MAX;
+        broker().stopped_at = clock_.now(), broker().resumed_at = INT64_MAX;
         broker().process.signal(SIGSTOP);
         co_await rest(micros(f.length));
         broker().process.signal(SIGCONT);
-        broker().woken = clock_.now();
+        broker().resumed_at = clock_.now();
     } else if (f.what == "restart-broker") {
-        broker().killed = clock_.now();
+        broker().killed_at = clock_.now();
         broker().process.kill();
-        broker().idle.clear();
+        broker().idle_connections.clear();
         co_await rest(micros(f.length));
         broker().process.start();
-        broker().killed = clock_.now();
+        broker().killed_at = clock_.now();
     } else if (f.what == "drain-cell") {
         for (int n = 0; n < experiment_.nodes; ++n)
             node(n).drain(true);
-        changed();
+        publish_member_lists();
         co_await rest(micros(f.length));
-        for (int n = 0; n < experiment_.nodes; ++n) { // back, and cold
+        for (int n = 0; n < experiment_.nodes; ++n) { // The nodes return to service cold.
             node(n).restart(0);
             node(n).drain(false);
         }
-        changed();
+        publish_member_lists();
         for (int n = 0; n < 20; ++n) {
-            const auto reply = co_await keeper("POST", "cells/restore", fmt::format("c{}", f.cell));
+            const auto reply = co_await call_coordinator("POST", "cells/restore", fmt::format("c{}", f.cell));
             if (reply && reply->first == 200)
                 break;
             co_await rest(200'000);
         }
     } else if (f.what == "drain-node") {
         node(f.index).drain(true);
-        changed();
+        publish_member_lists();
         co_await rest(micros(f.length));
         node(f.index).restart(0);
         node(f.index).drain(false);
-        changed();
+        publish_member_lists();
     } else if (f.what == "silence-lists") {
-        lists_->silence(micros(f.length));
+        discovery_->suspend_answers(micros(f.length));
     } else if (f.what == "restart-node") {
         node(f.index).restart(micros(f.length));
-        changed();
+        publish_member_lists();
     } else if (f.what == "move-surging") {
-        for (const Drawn &d : drawn_) {
+        for (const PlannedRequest &d : planned_requests_) {
             if (!d.surge)
                 continue;
-            const std::string &volume = volumes_[static_cast<std::size_t>(d.volume)].spelt;
-            const auto reply = co_await keeper("POST", "cells/move", fmt::format("{} c{}", volume, f.cell));
+            const std::string &volume = volumes_[static_cast<std::size_t>(d.volume)].id_text;
+            const auto reply =
+                co_await call_coordinator("POST", "cells/move", fmt::format("{} c{}", volume, f.cell));
             if (!reply || reply->first != 200)
-                ++moves_lost_;
+                ++moves_not_begun_;
             break;
         }
     } else if (f.what == "pause-node") {
         node(f.index).pause(micros(f.length));
     } else if (f.what == "slow-node") {
-        node(f.index).slow(f.times);
+        node(f.index).set_slowdown(f.times);
         co_await rest(micros(f.length));
-        node(f.index).slow(1);
+        node(f.index).set_slowdown(1);
     } else if (f.what == "restart-nodes") {
         for (int n = 0; n < experiment_.nodes; ++n)
             if (f.to.empty() || f.to.contains(n))
                 node(n).restart(micros(f.length));
-        changed();
+        publish_member_lists();
     } else if (f.what == "break-streams") {
         for (std::size_t n = 0; n < streams_.size(); ++n)
             if ((f.from.empty() || f.from.contains(static_cast<int>(n / nodes_.size()))) &&
                 (f.to.empty() || f.to.contains(static_cast<int>(n % nodes_.size()))))
                 streams_[n]->break_all();
     }
-    --busy_;
+    --pending_actions_;
 }
 
 } // namespace marblewood::lab
--- a/src/lab/world_setup.cpp
+++ b/src/lab/world_setup.cpp
@@ -10,14 +10,15 @@
 
 namespace marblewood::lab {
 
-void World::lay_out() {
+void Testbed::create_topology() {
     const Experiment &e = experiment_;
     map_.brokers_per_volume = e.spread;
-    keys_.resize(static_cast<std::size_t>(e.cells));
-    keeper_link_ = free_port(), keeper_control_ = free_port();
-    lists_.emplace(io_, deadlines_,
-                   Lists::Model{!settings_.poll_endpoint_list, micros(e.list_least), micros(e.list_most)},
-                   static_cast<std::size_t>(e.cells * e.brokers), stream(seed_, 6)());
+    keys_by_cell_.resize(static_cast<std::size_t>(e.cells));
+    coordinator_link_ = free_port(), coordinator_control_ = free_port();
+    discovery_.emplace(io_, deadlines_,
+                       EmulatedDiscovery::Model{!settings_.poll_endpoint_list, micros(e.min_list_delay),
+                                                micros(e.max_list_delay)},
+                       static_cast<std::size_t>(e.cells * e.brokers), stream(seed_, 6)());
     for (int c = 0; c < e.cells; ++c) {
         cells::Cell cell{fmt::format("c{}", c), e.node.capacity() * e.nodes, {}, {}, false, false};
         for (int b = 0; b < e.brokers; ++b) {
@@ -32,19 +33,19 @@
         for (int n = 0; n < e.nodes; ++n) {
             const std::string name = fmt::format("s-{}-{}", c, n);
             cell.nodes.insert(name);
-            EmulatedNode::DispatcherCallbacks around{
+            EmulatedNode::NodeCallbacks callbacks{
                 [this](const std::string &id, std::uint64_t volume, double units) {
-                    if (const auto first = tries_.find(id); first != tries_.end())
-                        oracle_->attempt(first->second);
+                    if (const auto first = first_attempt_at_.find(id); first != first_attempt_at_.end())
+                        oracle_->attempt_reached_node(first->second);
                     const auto at = volume_numbers_.find(volume);
-                    if (at != volume_numbers_.end() && charged_.insert(id).second)
-                        oracle_->at_node(clock_.now(), at->second, units);
+                    if (at != volume_numbers_.end() && charged_ids_.insert(id).second)
+                        oracle_->charge_units(clock_.now(), at->second, units);
                 },
-                [this, c](const std::string &key) { oracle_->ran(key, c); },
-                keys_[static_cast<std::size_t>(c)], settings_.classes[1].deduplication_window};
+                [this, c](const std::string &key) { oracle_->write_executed(key, c); },
+                keys_by_cell_[static_cast<std::size_t>(c)], settings_.classes[1].deduplication_window};
             nodes_.push_back(std::make_unique<EmulatedNode>(
                 io_, deadlines_, name, e.node, settings_.slow_start_window,
-                stream(seed_, 3, static_cast<std::uint32_t>(nodes_.size()))(), std::move(around)));
+                stream(seed_, 3, static_cast<std::uint32_t>(nodes_.size()))(), std::move(callbacks)));
         }
         map_.cells.push_back(std::move(cell));
     }
@@ -52,14 +53,14 @@
         const bool nodes = f.what == "cut-nodes";
         if (parts_.faults && (nodes || f.what == "datagrams" || f.what == "cut"))
             network_faults_.add({micros(f.at), micros(f.at + f.length), f.from, f.to, nodes,
-                                 f.what != "datagrams", f.lost, f.doubled, micros(f.late_least),
-                                 micros(f.late_most)});
+                                 f.what != "datagrams", f.lost, f.doubled, micros(f.min_delay),
+                                 micros(f.max_delay)});
     }
     if (e.peers) {
-        std::vector<int> listens, groups;
+        std::vector<int> listen_ports, groups;
         for (const Broker &broker : brokers_)
-            listens.push_back(broker.peer), groups.push_back(broker.cell);
-        datagrams_.emplace(io_, deadlines_, network_faults_, std::move(listens), std::move(groups));
+            listen_ports.push_back(broker.peer), groups.push_back(broker.cell);
+        datagrams_.emplace(io_, deadlines_, network_faults_, std::move(listen_ports), std::move(groups));
     }
     if (e.relay)
         for (int b = 0; b < static_cast<int>(brokers_.size()); ++b)
@@ -70,10 +71,10 @@
                     }));
 }
 
-void World::draw() {
+void Testbed::plan_requests() {
     const Experiment &e = experiment_;
     std::uint32_t number = 0;
-    std::vector<double> usual(static_cast<std::size_t>(e.cells));
+    std::vector<double> regular_rate(static_cast<std::size_t>(e.cells));
     const auto arrivals = [&](int volume, double rate, double from, double to, double units, double writes,
                               bool surge) {
         std::mt19937_64 random = stream(seed_, surge ? 2 : 1, static_cast<std::uint32_t>(volume));
@@ -82,20 +83,20 @@
             piece(0, 999);
         boost::random::bernoulli_distribution<double> write(writes);
         for (double at = from + gap(random); at < to; at += gap(random)) {
-            Drawn d;
+            PlannedRequest d;
             d.at = micros(at);
             d.volume = volume;
             d.surge = surge;
             d.write = write(random);
             d.units = std::min(size(random), 8);
-            d.piece = fmt::format("{:012x}{:04x}",
-                                  static_cast<std::uint64_t>(volumes_[static_cast<std::size_t>(volume)].id) &
-                                      0xffffffffffff,
-                                  piece(random));
-            d.luck = random();
+            d.object_id = fmt::format(
+                "{:012x}{:04x}",
+                static_cast<std::uint64_t>(volumes_[static_cast<std::size_t>(volume)].id) & 0xffffffffffff,
+                piece(random));
+            d.random_bits = random();
             if (d.write)
                 d.key = fmt::format("{:016x}", random());
-            drawn_.push_back(std::move(d));
+            planned_requests_.push_back(std::move(d));
         }
     };
     std::mt19937_64 ids = stream(seed_, 0);
@@ -103,7 +104,7 @@
         for (int n = 0; n < kind.count; ++n, ++number) {
             Volume v;
             v.id = VolumeId{ids()};
-            v.spelt = fmt::format("{:016x}", static_cast<std::uint64_t>(v.id));
+            v.id_text = fmt::format("{:016x}", static_cast<std::uint64_t>(v.id));
             for (std::size_t p = 0; p < settings_.plans.size(); ++p)
                 if (settings_.plans[p].name == kind.plan)
                     v.plan = static_cast<int>(p);
@@ -115,7 +116,7 @@
                         v.brokers.push_back(static_cast<int>(i));
             v.busiest = kind.busiest, v.shift = micros(kind.shift_s);
             volume_numbers_[static_cast<std::uint64_t>(v.id)] = static_cast<int>(volumes_.size());
-            usual[static_cast<std::size_t>(v.cell)] += kind.rate;
+            regular_rate[static_cast<std::size_t>(v.cell)] += kind.rate;
             volumes_.push_back(std::move(v));
             arrivals(static_cast<int>(number), kind.rate, 0, e.seconds, kind.units, kind.writes, false);
         }
@@ -124,19 +125,20 @@
             for (std::size_t v = 0; v < volumes_.size(); ++v)
                 if (volumes_[v].cell == surge.cell &&
                     settings_.plans[static_cast<std::size_t>(volumes_[v].plan)].name == surge.plan) {
-                    arrivals(static_cast<int>(v), surge.times * usual[static_cast<std::size_t>(surge.cell)],
-                             surge.at, std::min(surge.at + surge.length, e.seconds), 2, 0.2, true);
+                    arrivals(static_cast<int>(v),
+                             surge.times * regular_rate[static_cast<std::size_t>(surge.cell)], surge.at,
+                             std::min(surge.at + surge.length, e.seconds), 2, 0.2, true);
                     break;
                 }
-    std::stable_sort(drawn_.begin(), drawn_.end(),
-                     [](const Drawn &a, const Drawn &b) { return a.at < b.at; });
+    std::stable_sort(planned_requests_.begin(), planned_requests_.end(),
+                     [](const PlannedRequest &a, const PlannedRequest &b) { return a.at < b.at; });
 }
 
-void World::write_settings() {
+void Testbed::write_settings() {
     const std::string program = program_path();
     Json::Value cells(Json::objectValue);
-    cells["keeper"]["link"] = fmt::format("127.0.0.1:{}", keeper_link_);
-    cells["keeper"]["control"] = fmt::format("127.0.0.1:{}", keeper_control_);
+    cells["keeper"]["link"] = fmt::format("127.0.0.1:{}", coordinator_link_);
+    cells["keeper"]["control"] = fmt::format("127.0.0.1:{}", coordinator_control_);
     cells["state"] = (folder_ / "state").string();
     cells["spread"] = map_.brokers_per_volume;
     cells["forward"] = experiment_.forward;
@@ -158,22 +160,22 @@
     root["cells"] = std::move(cells);
     const std::string operators = folder_ / "operator.json";
     std::ofstream(operators) << root.toStyledString();
-    keeper_.command = {program, "keeper", "--operator", operators};
-    keeper_.log = folder_ / "keeper.log";
+    coordinator_.command = {program, "keeper", "--operator", operators};
+    coordinator_.log = folder_ / "keeper.log";
     std::map<int, int> position;
     for (std::size_t number = 0; number < brokers_.size(); ++number) {
         Broker &broker = brokers_[number];
         Json::Value c;
         c["name"] = broker.name;
         c["listen"] = fmt::format("127.0.0.1:{}", broker.port);
-        c["discovery"] = fmt::format("127.0.0.1:{}", lists_->port(number));
+        c["discovery"] = fmt::format("127.0.0.1:{}", discovery_->port(number));
         c["seed"] = fmt::format("{:x}", stream(seed_, 4, static_cast<std::uint32_t>(broker.port))());
-        c["known"] = config::parse(R"({"revision":1,"complete":true,"members":[)" + listed(number) +
-                                   "]}"); // as last heard
+        c["known"] = config::parse(R"({"revision":1,"complete":true,"members":[)" + member_list(number) +
+                                   "]}"); // the endpoint list it starts with
         c["limits"]["sockets"] = 1024;
         c["limits"]["memory_mb"] = 192;
         c["settings"] = experiment_.settings;
-        c["settings"]["instances"] = experiment_.brokers; // that share the cell's nodes
+        c["settings"]["instances"] = experiment_.brokers; // brokers that share the cell's nodes
         c["settings"]["position"] = position[broker.cell]++;
         c["control"] = fmt::format("127.0.0.1:{}", broker.control);
         c["settings"]["bounds"]["peers"] = experiment_.peers && parts_.talk;
@@ -193,7 +195,7 @@
     }
 }
 
-std::string World::listed(std::size_t broker) const {
+std::string Testbed::member_list(std::size_t broker) const {
     std::string members;
     for (std::size_t n = 0; n < nodes_.size(); ++n)
         members += fmt::format(
@@ -205,6 +207,4 @@
     return members;
 }
 
-// The broker that a try comes through.
-
 } // namespace marblewood::lab
