--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,10 +1,12 @@
-// The figures of docs/CAPACITY.md against the results that are committed with it. A figure that follows from
-// them bears its formula in a comment behind it:
-//
-//   5.0 MB<!-- = line:nodes/broker.memory_kb * 1500 / 1024 + intercept:nodes/broker.memory_kb / 1024 -->
-//
-// `line:SWEEP/FIGURE` is the slope of a sweep and `intercept:` its intercept; `slopes:`, `alone:`, `scale:`
-// and `faults:` are metrics of the results. The printed number must be the formula's value, rounded.
+/// \file
+/// Checks the figures in docs/CAPACITY.md against the committed results in docs/capacity/. A figure that is
+/// derived from the results is followed by its formula in a comment:
+///
+///   5.0 MB<!-- = line:nodes/broker.memory_kb * 1500 / 1024 + intercept:nodes/broker.memory_kb / 1024 -->
+///
+/// `line:SWEEP/FIGURE` is the slope of a sweep and `intercept:SWEEP/FIGURE` its intercept; `slopes:`,
+/// `alone:`, `scale:` and `faults:` are followed by the name of a metric in the result file of that kind. The
+/// printed number must be the formula's value, rounded.
 #include "config/config.hpp"
 
 #include <cmath>
@@ -17,6 +19,7 @@
 
 namespace {
 
+/// The metrics, slopes and intercepts of all result files, by the names that formulas use.
 class Results {
 public:
     Results() {
@@ -35,14 +38,16 @@
             }
         }
     }
+    /// The value of a name or of a literal number; throws std::invalid_argument if it is neither.
     double value(const std::string &name) const {
         const auto at = values_.find(name);
         if (at != values_.end())
             return at->second;
-        std::size_t read = 0;
-        const double number = std::stod(name, &read); // throws where it is neither
-        if (read != name.size())
-            throw std::invalid_argument("no figure is called " + name);
+        std::size_t parsed_length = 0;
+        // Throws if `name` does not start with a number.
+        const double number = std::stod(name, &parsed_length);
+        if (parsed_length != name.size())
+            throw std::invalid_argument("unknown figure: " + name);
         return number;
     }
 
@@ -50,7 +55,7 @@
     std::map<std::string, double> values_;
 };
 
-// Words between blanks; * and / go before + and -.
+// Evaluates a formula of operands and operators separated by spaces; * and / bind tighter than + and -.
 double evaluate(const std::string &formula, const Results &results) {
     std::istringstream words(formula);
     double sum = 0, product = 0;
@@ -72,13 +77,13 @@
         if (!(words >> operation))
             break;
         if (operation != "+" && operation != "-" && operation != "*" && operation != "/")
-            throw std::invalid_argument("no operation: " + operation);
+            throw std::invalid_argument("unknown operator: " + operation);
     }
     return sum + (sign == '+' ? product : -product);
 }
 
 struct Printed {
-    double value = 0, unit = 1; // `unit`: of the last digit
+    double value = 0, unit = 1; // `unit`: the place value of the last digit
 };
 Printed read_number(std::string text) {
     std::erase(text, ',');
--- a/tests/faults/clock_shim.cpp
+++ b/tests/faults/clock_shim.cpp
@@ -1,6 +1,7 @@
-// Loaded into a program (LD_PRELOAD): its wall clock is off by as many seconds as the file named in
-// CLOCK_SHIM_OFFSET says (a 64-bit integer, in the machine's byte order), read anew at each call. All other
-// clocks run as they are.
+/// \file
+/// A library for LD_PRELOAD that shifts the program's wall clock by the number of seconds in the file named
+/// by CLOCK_SHIM_OFFSET (a 64-bit integer in the machine's byte order). The file is read again at each call.
+/// All other clocks are unchanged.
 #include <cerrno>
 #include <cstdint>
 #include <cstdlib>
@@ -16,7 +17,7 @@
     const char *const path = std::getenv("CLOCK_SHIM_OFFSET");
     if (!path)
         return 0;
-    const int saved = errno;
+    const int saved_errno = errno;
     const int fd = ::open(path, O_RDONLY | O_CLOEXEC);
     std::int64_t seconds = 0;
     if (fd >= 0) {
@@ -24,7 +25,7 @@
             seconds = 0;
         ::close(fd);
     }
-    errno = saved;
+    errno = saved_errno;
     return seconds;
 }
 
--- a/tests/faults/fault_proxy.hpp
+++ b/tests/faults/fault_proxy.hpp
@@ -1,38 +1,39 @@
-// Faults from outside the program: a network that is slow and cuts what it carries into pieces, and a wall
-// clock that is set while the program runs.
+/// \file
+/// Faults in the program's environment: a slow network that delivers data in small chunks, and a wall clock
+/// that is changed while the program runs.
 #pragma once
 
 #include "../helper.hpp"
 
 namespace test {
 
-/// How a proxy carries bytes, in both directions.
+/// How a proxy forwards bytes, in both directions.
 struct ProxyFaults {
-    std::chrono::milliseconds late = 0ms; ///< each piece arrives so much later
-    std::size_t most_piece = 65'536;      ///< bytes carried at once
+    std::chrono::milliseconds late = 0ms; ///< delay before data read in one call is forwarded
+    std::size_t most_piece = 65'536;      ///< the largest number of bytes sent in one call
 };
 
-/// Carries each connection to a port of the loopback address, with its faults. The end of one side ends the
-/// other once what came before it has arrived.
+/// Forwards each connection to a port of the loopback address, with the given faults. When one side ends its
+/// connection, the proxy forwards what it has received and then shuts down the other side.
 class FaultProxy {
 public:
     FaultProxy(int target, ProxyFaults faults)
         : faults_(faults), server_([this, target](Socket &client) {
               Socket broker = Socket::to(target);
-              std::thread back([&] { carry(broker, client); });
-              carry(client, broker);
+              std::thread back([&] { forward(broker, client); });
+              forward(client, broker);
               back.join();
           }) {}
     int port() const { return server_.port; }
 
 private:
-    void carry(Socket &from, Socket &to) const {
+    void forward(Socket &from, Socket &to) const {
         while (from.in.size() > 0 || from.more(600'000)) {
             std::this_thread::sleep_for(faults_.late);
             while (!from.in.empty()) {
-                const std::string piece = from.in.substr(0, faults_.most_piece);
-                from.in.erase(0, piece.size());
-                if (!to.send(piece))
+                const std::string chunk = from.in.substr(0, faults_.most_piece);
+                from.in.erase(0, chunk.size());
+                if (!to.send(chunk))
                     break;
             }
         }
@@ -43,8 +44,9 @@
     Server server_;
 };
 
-/// Programs started while one of these lives see a wall clock that can be set; their monotonic clock runs on.
-/// The shared library `clock_shim` reads the offset from a file of this object.
+/// While an object of this class exists, programs that are started see a wall clock with an offset that the
+/// test can change; their monotonic clock is unaffected. The preloaded library `clock_shim` reads the offset
+/// from a file that this object owns.
 class ClockSteps {
 public:
     ClockSteps() : path_(std::filesystem::temp_directory_path() / fmt::format("clock-{}", ::getpid())) {
@@ -57,6 +59,7 @@
         ::unsetenv("CLOCK_SHIM_OFFSET");
         std::filesystem::remove(path_);
     }
+    /// Sets the offset to the real time.
     void step(std::chrono::seconds offset) const {
         const std::int64_t seconds = offset.count();
         std::ofstream(path_, std::ios::binary)
--- a/tests/faults/request_loop.hpp
+++ b/tests/faults/request_loop.hpp
@@ -1,4 +1,6 @@
-// Clients that go on asking on their open connections until these end, and what became of each request.
+/// \file
+/// Clients that send requests on their open connections until these are closed, and count the outcome of each
+/// request.
 #pragma once
 
 #include "../helper.hpp"
@@ -10,9 +12,11 @@
 
 using Clock = std::chrono::steady_clock;
 
+/// The usual piece, and the one for which the tests' nodes don't answer in time.
 inline const std::string kPiece = "7f3a9c21e0b4d655", kHanging = "00000000000000aa";
 
-/// The usual settings with other deadlines for the two classes, and a plan whose limit nobody reaches.
+/// kSettings with the given deadlines for the two classes, and with a plan limit so high that no test reaches
+/// it.
 inline std::string with_deadlines(int read_ms, int write_ms) {
     std::string settings = kSettings;
     const auto replace = [&settings](const std::string &usual, const std::string &other) {
@@ -24,77 +28,81 @@
     replace(R"("reserve":800.0)", R"("reserve":80000.0)");
     return settings;
 }
-/// From SIGTERM until the process may be ended by force.
+/// The time from SIGTERM until the platform may kill the process (app::ShutdownSchedule), given the longest
+/// client deadline.
 inline std::chrono::milliseconds kill_after(int longest_ms) {
     return std::chrono::milliseconds(std::min(longest_ms, 3000) + 700);
 }
 
-/// What became of the requests of many clients.
+/// Counts the outcomes of the requests of many clients.
 struct RequestTally {
     std::atomic<long> sent = 0, served = 0, refused = 0, failed = 0;
-    /// Ended without an answer after the client could see the end, or within kCrossing of being written.
+    /// Requests without an answer that crossed the broker's close of the connection: written after the client
+    /// could see the close, or at most LoopClient::kCrossingWindow before it.
     std::atomic<long> crossed = 0;
-    /// Of those, the ones that reached the broker's machine before it ended the connection.
+    /// Of those, the requests that had reached the broker's machine before it closed the connection.
     std::atomic<long> crossed_unread = 0;
-    std::atomic<long> widest_us = 0; ///< the longest time of these from being written to the end
-    /// Written on an open connection which then ended without their answers.
+    std::atomic<long> max_crossing_us = 0; ///< of these, the longest time from being written to the close
+    /// Requests written on an open connection that was then closed without an answer to them.
     std::atomic<long> lost = 0;
-    /// Answered over kMayBeLate after the time for which the client waits.
+    /// Requests answered more than kLateTolerance after the time for which the client waits.
     std::atomic<long> late = 0;
-    static constexpr auto kMayBeLate = 500ms;
+    static constexpr auto kLateTolerance = 500ms;
 
     std::string summary() const {
         return fmt::format(
             "sent {} served {} refused {} failed {} crossed {} (unread {}, within {} us) lost {} late {}",
             sent.load(), served.load(), refused.load(), failed.load(), crossed.load(), crossed_unread.load(),
-            widest_us.load(), lost.load(), late.load());
+            max_crossing_us.load(), lost.load(), late.load());
     }
 };
 
 /// How a client uses its connections.
-struct LoopHabits {
-    std::string piece = kPiece;              ///< asked for first on each connection
-    std::string next_piece = kPiece;         ///< and then
-    int wait_ms = 250;                       ///< for which it says it waits
-    bool writes = false;                     ///< asks for writes with a key, else for reads
-    std::size_t depth = 1;                   ///< requests open at once on a connection
-    std::chrono::microseconds pause = 0us;   ///< from an answer to the next request
-    std::size_t pieces = 1;                  ///< a request is written in so many
-    std::chrono::microseconds between = 0us; ///< those
-    int requests = 0;                        ///< on one connection, before the next is opened; 0: no bound
-    bool reconnects = false;                 ///< opens a new connection after the broker ended one
+struct LoopOptions {
+    std::string piece = kPiece;      ///< of the first request on each connection
+    std::string next_piece = kPiece; ///< of all later requests
+    int wait_ms = 250;               ///< the time for which the client waits, as its requests state
+    bool writes = false;             ///< sends writes with an idempotency key instead of reads
+    std::size_t depth = 1;           ///< requests open at once on a connection
+    /// From an answer to the next request, if the client had to wait for the answer.
+    std::chrono::microseconds pause = 0us;
+    std::size_t fragments = 1; ///< number of parts in which a later request is written
+    std::chrono::microseconds fragment_interval = 0us; ///< pause between these parts
+    int requests = 0;        ///< requests on one connection before the client closes it; 0: unlimited
+    bool reconnects = false; ///< opens a new connection after one has been closed
 };
 
-/// One client. A thread writes, and another reads what comes, so that each sees its moment.
+/// One client. One thread writes requests and another reads answers, so that neither delays the other and the
+/// recorded times are exact.
 class LoopClient {
 public:
-    /// How long before its connection's end a request may have been written and count as crossing the end:
-    /// the other side looks for bytes and ends the connection in two system calls, and both sides share cores
-    /// with others, so that a thread may wait some ms for its turn.
-    static constexpr auto kCrossing = 20ms;
+    /// A request written at most this long before the connection's close counts as crossing it. The broker
+    /// checks for unread bytes and closes the connection in two system calls, and both sides share cores with
+    /// other processes, so that a thread may wait some ms to be scheduled in between.
+    static constexpr auto kCrossingWindow = 20ms;
 
-    LoopClient(int port, LoopHabits habits, RequestTally &tally)
-        : port_(port), habits_(std::move(habits)), tally_(tally), thread_([this] { run(); }) {}
+    LoopClient(int port, LoopOptions options, RequestTally &tally)
+        : port_(port), options_(std::move(options)), tally_(tally), thread_([this] { run(); }) {}
     ~LoopClient() {
         {
             const std::lock_guard lock(mutex_);
-            over_ = true;
+            stopping_ = true;
         }
         changed_.notify_all();
         thread_.join();
     }
-    /// Until it has seen its connection's end, where it does not reconnect.
+    /// Waits until the client has seen its connection closed; only for clients that do not reconnect.
     void await_end() const {
-        for (const auto until = Clock::now() + 15s; !ended_; std::this_thread::sleep_for(1ms))
+        for (const auto until = Clock::now() + 15s; !finished_; std::this_thread::sleep_for(1ms))
             assert(Clock::now() < until);
     }
 
 private:
     static constexpr std::size_t kBodyBytes = 4096;
-    struct Open {
+    struct OpenRequest {
         std::string id;
-        Clock::time_point written; // its last byte
-        bool end_seen;             // the connection's end had come before that
+        Clock::time_point written; // when its last byte was written
+        bool end_seen;             // whether the close of the connection had arrived before that
     };
 
     void run() {
@@ -104,8 +112,8 @@
                 continue;
             }
             use_connection();
-        } while (habits_.reconnects && !over_);
-        ended_ = true;
+        } while (options_.reconnects && !stopping_);
+        finished_ = true;
     }
     bool connect() {
         const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -117,41 +125,45 @@
         open_.clear();
         ended_at_.reset();
         std::thread reader([this] { read(); });
-        int asked = 0;
-        for (; await_room() && (habits_.requests == 0 || asked < habits_.requests); ++asked)
-            if (!write(asked == 0 ? habits_.piece : habits_.next_piece, asked == 0 ? 1 : habits_.pieces))
+        int sent = 0;
+        for (; await_free_slot() && (options_.requests == 0 || sent < options_.requests); ++sent)
+            if (!write(sent == 0 ? options_.piece : options_.next_piece, sent == 0 ? 1 : options_.fragments))
                 break;
         std::unique_lock lock(mutex_);
-        changed_.wait(lock, [this] { return over_ || ended_at_ || open_.empty(); });
+        changed_.wait(lock, [this] { return stopping_ || ended_at_ || open_.empty(); });
         if (!ended_at_)
-            socket_->shut(); // it has asked all it wanted
+            socket_->shut(); // all requests of this connection are sent, or the client is being destroyed
         lock.unlock();
         reader.join();
     }
-    // Until another request may be open; false: the connection has ended.
-    bool await_room() {
+    // Waits until another request may be sent; returns false if the connection has been closed or the client
+    // is being destroyed.
+    bool await_free_slot() {
         std::unique_lock lock(mutex_);
-        const bool waits = open_.size() >= habits_.depth;
-        changed_.wait(lock, [this] { return over_ || ended_at_ || open_.size() < habits_.depth; });
+        const bool waits = open_.size() >= options_.depth;
+        changed_.wait(lock, [this] { return stopping_ || ended_at_ || open_.size() < options_.depth; });
         if (waits)
-            changed_.wait_for(lock, habits_.pause, [this] { return over_ || ended_at_; });
-        return !over_ && !ended_at_;
+            changed_.wait_for(lock, options_.pause, [this] { return stopping_ || ended_at_; });
+        return !stopping_ && !ended_at_;
     }
-    // False: the connection has ended under it, which is no request then.
-    bool write(const std::string &piece, std::size_t pieces) {
+    // Returns false if the connection was closed before the request was complete; it then does not count as
+    // sent.
+    bool write(const std::string &piece, std::size_t fragments) {
         const std::string id = fresh_id();
         const std::string request =
-            habits_.writes ? put_keyed(piece, id) : get(piece, 0, habits_.wait_ms, id);
-        const std::size_t length = request.size() / pieces + 1;
+            options_.writes ? put_keyed(piece, id) : get(piece, 0, options_.wait_ms, id);
+        const std::size_t length = request.size() / fragments + 1;
         std::size_t at = 0;
         for (; at + length < request.size(); at += length) {
             if (!socket_->send(request.substr(at, length)))
                 return false;
             std::unique_lock lock(mutex_);
-            if (changed_.wait_for(lock, habits_.between, [this] { return over_ || ended_at_; }))
+            if (changed_.wait_for(lock, options_.fragment_interval,
+                                  [this] { return stopping_ || ended_at_; }))
                 return false;
         }
-        const std::lock_guard lock(mutex_); // the answer is taken after that
+        // The reader must not process the answer before the request is recorded.
+        const std::lock_guard lock(mutex_);
         if (!socket_->send(request.substr(at)))
             return false;
         ++tally_.sent;
@@ -162,7 +174,7 @@
         return resp::command({"OBJ.PUT", piece, id,
                               fmt::format("c=new-write,t=standard,d={},k={},volume=00000003b4d60021,"
                                           "units=2,shard=0,hosts=1",
-                                          habits_.wait_ms, id),
+                                          options_.wait_ms, id),
                               std::string(kBodyBytes, 'b')});
     }
     bool end_seen() const {
@@ -172,22 +184,22 @@
     void read() {
         while (const auto answer = next_answer()) {
             const std::lock_guard lock(mutex_);
-            take(*answer);
+            count_answer(*answer);
             changed_.notify_all();
         }
         const std::lock_guard lock(mutex_);
         ended_at_ = Clock::now();
-        if (!over_)
-            judge_open();
+        if (!stopping_)
+            count_unanswered();
         changed_.notify_all();
     }
     std::optional<resp::Value> next_answer() {
-        while (!over_ && socket_->in.empty() && socket_->silent_for(20)) {}
-        return over_ ? std::nullopt : socket_->value();
+        while (!stopping_ && socket_->in.empty() && socket_->silent_for(20)) {}
+        return stopping_ ? std::nullopt : socket_->value();
     }
-    void take(const resp::Value &answer) {
-        assert(!open_.empty()); // an answer that nobody asked for
-        const auto due = std::chrono::milliseconds(habits_.wait_ms) + RequestTally::kMayBeLate;
+    void count_answer(const resp::Value &answer) {
+        assert(!open_.empty()); // else the answer belongs to no request
+        const auto due = std::chrono::milliseconds(options_.wait_ms) + RequestTally::kLateTolerance;
         if (Clock::now() - open_.front().written > due)
             ++tally_.late;
         if (answer.text.starts_with("BUSY"))
@@ -201,19 +213,19 @@
         }
         open_.pop_front();
     }
-    int port_of() const {
+    int local_port() const {
         sockaddr_in at{};
         socklen_t size = sizeof at;
         ::getsockname(socket_->descriptor(), reinterpret_cast<sockaddr *>(&at), &size);
         return ntohs(at.sin_port);
     }
-    void judge_open() {
-        for (const Open &request : open_) {
+    void count_unanswered() {
+        for (const OpenRequest &request : open_) {
             const auto after = *ended_at_ - request.written;
-            if (!request.end_seen && after > kCrossing) {
+            if (!request.end_seen && after > kCrossingWindow) {
                 ++tally_.lost;
-                fmt::print("lost: request {} on port {} at {:.3f} ended after {} us\n", request.id, port_of(),
-                           std::chrono::duration<double>(ended_at_->time_since_epoch()).count(),
+                fmt::print("lost: request {} on port {} at {:.3f} ended after {} us\n", request.id,
+                           local_port(), std::chrono::duration<double>(ended_at_->time_since_epoch()).count(),
                            std::chrono::duration_cast<std::chrono::microseconds>(after).count());
                 continue;
             }
@@ -222,21 +234,21 @@
                 continue;
             ++tally_.crossed_unread;
             const long us = std::chrono::duration_cast<std::chrono::microseconds>(after).count();
-            long widest = tally_.widest_us;
-            while (us > widest && !tally_.widest_us.compare_exchange_weak(widest, us)) {}
+            long max_us = tally_.max_crossing_us;
+            while (us > max_us && !tally_.max_crossing_us.compare_exchange_weak(max_us, us)) {}
         }
         std::fflush(stdout);
     }
 
     const int port_;
-    const LoopHabits habits_;
+    const LoopOptions options_;
     RequestTally &tally_;
     std::optional<Socket> socket_;
-    std::mutex mutex_; // for what follows
+    std::mutex mutex_; // guards the members below up to ended_at_
     std::condition_variable changed_;
-    std::deque<Open> open_;
-    std::optional<Clock::time_point> ended_at_; // when it saw the connection's end
-    std::atomic<bool> over_ = false, ended_ = false;
+    std::deque<OpenRequest> open_;
+    std::optional<Clock::time_point> ended_at_; // when the reader saw the connection closed
+    std::atomic<bool> stopping_ = false, finished_ = false;
     std::thread thread_;
 };
 
--- a/tests/faults/syscall_faults.hpp
+++ b/tests/faults/syscall_faults.hpp
@@ -1,4 +1,5 @@
-// System calls that fail in a program, by a plan and a seed.
+/// \file
+/// Injects failures of system calls into programs, by a fault plan and a random seed.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +8,8 @@
 
 namespace test {
 
-/// Programs started while one of these lives have the faults of a plan (tests/faults/syscall_shim.cpp says
-/// how it is written).
+/// While an object of this class exists, programs that are started run with the faults of `plan`;
+/// tests/faults/syscall_shim.cpp describes its format.
 class SyscallFaults {
 public:
     SyscallFaults(const std::string &plan, std::uint64_t seed) {
--- a/tests/faults/syscall_shim.cpp
+++ b/tests/faults/syscall_shim.cpp
@@ -1,10 +1,12 @@
-// Loaded into a program (LD_PRELOAD): its calls on TCP sockets over IPv4 fail as Linux documents that they
-// may.
-//
-// SYSCALL_FAULTS lists the faults: "CALL=FAULT:PERCENT;...", with CALL one of accept, connect, socket, send
-// and recv, and FAULT the name of an error (the call then fails with it and does nothing) or, for send and
-// recv, "short" (the call then moves a part of the bytes). SYSCALL_SEED seeds the chances. A shortened or
-// refused call says nothing of when the next one will do more: no readiness event follows it.
+/// \file
+/// A library for LD_PRELOAD that makes the program's calls on IPv4 TCP sockets fail in ways that Linux
+/// documents.
+///
+/// SYSCALL_FAULTS lists the faults as "CALL=FAULT:PERCENT;...". CALL is one of accept, connect, socket, send
+/// and recv. FAULT is the name of an error (the call then fails with that error and does nothing) or, for
+/// send and recv, "short" (the call then transfers only part of the bytes). SYSCALL_SEED seeds the random
+/// choice of the calls that fail. The kernel knows nothing of an injected fault: no readiness event announces
+/// that the next call can make progress.
 #include <arpa/inet.h>
 #include <cerrno>
 #include <cstdint>
@@ -20,7 +22,7 @@
 namespace {
 
 struct Fault {
-    int error = 0; // 0: a short call
+    int error = 0; // an errno value; 0 for a short call
     int percent = 0;
 };
 
@@ -43,7 +45,7 @@
 
 using Plan = std::map<std::string, std::vector<Fault>>;
 
-Plan read_plan() {
+Plan plan_from_environment() {
     Plan plan;
     const char *const text = std::getenv("SYSCALL_FAULTS");
     std::string rest = text ? text : "";
@@ -61,15 +63,15 @@
     return plan;
 }
 
-std::uint64_t seed() {
+std::uint64_t seed_from_environment() {
     const char *const text = std::getenv("SYSCALL_SEED");
     return text ? std::strtoull(text, nullptr, 10) : 1;
 }
 
-// The fault of this call, if it has one now.
-const Fault *drawn(const char *call) {
-    static const Plan plan = read_plan();
-    static std::mt19937_64 random(seed());
+// Decides at random whether this call fails, and returns the fault; null if it does not.
+const Fault *draw_fault(const char *call) {
+    static const Plan plan = plan_from_environment();
+    static std::mt19937_64 random(seed_from_environment());
     const auto faults = plan.find(call);
     if (faults == plan.end())
         return nullptr;
@@ -79,7 +81,7 @@
     return nullptr;
 }
 
-template <typename Function> Function real(const char *name) {
+template <typename Function> Function real_function(const char *name) {
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -93,21 +95,22 @@
            type == SOCK_STREAM;
 }
 
-constexpr std::size_t kShort = 7; // bytes that a short call moves
+constexpr std::size_t kShortCallBytes = 7;
 
-// What is left of a message for a short call.
+// A copy of `message` that covers only the first bytes of its first non-empty buffer, for a short call. The
+// copy refers to `part`.
 msghdr shortened(const msghdr &message, iovec &part) {
     msghdr out = message;
     part = {nullptr, 0};
     for (std::size_t n = 0; n < message.msg_iovlen && part.iov_len == 0; ++n)
         part = message.msg_iov[n];
-    part.iov_len = std::min(part.iov_len, kShort);
+    part.iov_len = std::min(part.iov_len, kShortCallBytes);
     out.msg_iov = &part;
     out.msg_iovlen = 1;
     return out;
 }
 
-// Whether the call fails, with errno set.
+// Whether the call fails with an error; sets errno if it does.
 bool fails(const Fault *fault) {
     if (!fault || fault->error == 0)
         return false;
@@ -120,72 +123,72 @@
 extern "C" {
 
 int accept(int fd, sockaddr *address, socklen_t *size) {
-    static const auto next = real<int (*)(int, sockaddr *, socklen_t *)>("accept");
-    if (is_tcp(fd) && fails(drawn("accept")))
+    static const auto real_call = real_function<int (*)(int, sockaddr *, socklen_t *)>("accept");
+    if (is_tcp(fd) && fails(draw_fault("accept")))
         return -1;
-    return next(fd, address, size);
+    return real_call(fd, address, size);
 }
 
 int accept4(int fd, sockaddr *address, socklen_t *size, int flags) {
-    static const auto next = real<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
-    if (is_tcp(fd) && fails(drawn("accept")))
+    static const auto real_call = real_function<int (*)(int, sockaddr *, socklen_t *, int)>("accept4");
+    if (is_tcp(fd) && fails(draw_fault("accept")))
         return -1;
-    return next(fd, address, size, flags);
+    return real_call(fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-    static const auto next = real<int (*)(int, int, int)>("socket");
-    if (domain == AF_INET && (type & 0xf) == SOCK_STREAM && fails(drawn("socket")))
+    static const auto real_call = real_function<int (*)(int, int, int)>("socket");
+    if (domain == AF_INET && (type & 0xf) == SOCK_STREAM && fails(draw_fault("socket")))
         return -1;
-    return next(domain, type, protocol);
+    return real_call(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr *address, socklen_t size) {
-    static const auto next = real<int (*)(int, const sockaddr *, socklen_t)>("connect");
-    if (is_tcp(fd) && fails(drawn("connect")))
+    static const auto real_call = real_function<int (*)(int, const sockaddr *, socklen_t)>("connect");
+    if (is_tcp(fd) && fails(draw_fault("connect")))
         return -1;
-    return next(fd, address, size);
+    return real_call(fd, address, size);
 }
 
 ssize_t sendmsg(int fd, const msghdr *message, int flags) {
-    static const auto next = real<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
-    const Fault *const fault = is_tcp(fd) ? drawn("send") : nullptr;
+    static const auto real_call = real_function<ssize_t (*)(int, const msghdr *, int)>("sendmsg");
+    const Fault *const fault = is_tcp(fd) ? draw_fault("send") : nullptr;
     if (fails(fault))
         return -1;
     iovec part{};
     if (!fault)
-        return next(fd, message, flags);
-    const msghdr less = shortened(*message, part);
-    return next(fd, &less, flags);
+        return real_call(fd, message, flags);
+    const msghdr shorter = shortened(*message, part);
+    return real_call(fd, &shorter, flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t size, int flags) {
-    static const auto next = real<ssize_t (*)(int, const void *, size_t, int)>("send");
-    const Fault *const fault = is_tcp(fd) ? drawn("send") : nullptr;
+    static const auto real_call = real_function<ssize_t (*)(int, const void *, size_t, int)>("send");
+    const Fault *const fault = is_tcp(fd) ? draw_fault("send") : nullptr;
     if (fails(fault))
         return -1;
-    return next(fd, bytes, fault ? std::min(size, kShort) : size, flags);
+    return real_call(fd, bytes, fault ? std::min(size, kShortCallBytes) : size, flags);
 }
 
 ssize_t recvmsg(int fd, msghdr *message, int flags) {
-    static const auto next = real<ssize_t (*)(int, msghdr *, int)>("recvmsg");
-    const Fault *const fault = is_tcp(fd) ? drawn("recv") : nullptr;
+    static const auto real_call = real_function<ssize_t (*)(int, msghdr *, int)>("recvmsg");
+    const Fault *const fault = is_tcp(fd) ? draw_fault("recv") : nullptr;
     if (fails(fault))
         return -1;
     if (!fault)
-        return next(fd, message, flags);
+        return real_call(fd, message, flags);
     iovec part{};
-    msghdr less = shortened(*message, part);
-    const ssize_t got = next(fd, &less, flags);
-    message->msg_flags = less.msg_flags;
+    msghdr shorter = shortened(*message, part);
+    const ssize_t got = real_call(fd, &shorter, flags);
+    message->msg_flags = shorter.msg_flags;
     return got;
 }
 
 ssize_t recv(int fd, void *bytes, size_t size, int flags) {
-    static const auto next = real<ssize_t (*)(int, void *, size_t, int)>("recv");
-    const Fault *const fault = is_tcp(fd) ? drawn("recv") : nullptr;
+    static const auto real_call = real_function<ssize_t (*)(int, void *, size_t, int)>("recv");
+    const Fault *const fault = is_tcp(fd) ? draw_fault("recv") : nullptr;
     if (fails(fault))
         return -1;
-    return next(fd, bytes, fault ? std::min(size, kShort) : size, flags);
+    return real_call(fd, bytes, fault ? std::min(size, kShortCallBytes) : size, flags);
 }
 }
--- a/tests/helper.hpp
+++ b/tests/helper.hpp
@@ -1,8 +1,10 @@
-// What the tests over sockets share: the real program as a process, and stand-ins for discovery and nodes.
-// Blocking sockets and threads: each stand-in reads from top to bottom.
+/// \file
+/// Shared by the tests over sockets: the real program as a child process, and fake discovery and node
+/// servers. The fake servers use blocking sockets and one thread per connection, so that each handler is
+/// sequential code.
 #pragma once
 
-#undef NDEBUG // the asserts must hold in a Release build too
+#undef NDEBUG // the tests rely on assert() in a Release build, too
 #include <cassert>
 
 #include "net/resp/parser.hpp"
@@ -38,42 +40,47 @@
 using namespace std::chrono_literals;
 namespace resp = marblewood::net::resp;
 
+/// The loopback address with `port`.
 inline sockaddr_in local(int port) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = htons(static_cast<std::uint16_t>(port));
-    return at;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    return address;
 }
 
+/// A blocking TCP connection with a receive buffer and a RESP parser.
 class Socket {
 public:
     explicit Socket(int fd) : fd_(fd) {
         const int on = 1;
         setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
+    /// Connects to `port` on the loopback address.
     static Socket to(int port) {
         const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-        const sockaddr_in at = local(port);
-        assert(::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0);
+        const sockaddr_in address = local(port);
+        assert(::connect(fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0);
         return Socket(fd);
     }
-    Socket(Socket &&o) noexcept : in(std::move(o.in)), fd_(std::exchange(o.fd_, -1)) {}
+    Socket(Socket &&other) noexcept : in(std::move(other.in)), fd_(std::exchange(other.fd_, -1)) {}
     ~Socket() { close(); }
     void close() {
         if (fd_ >= 0)
             ::close(std::exchange(fd_, -1));
     }
+    /// Shuts down both directions but keeps the descriptor open.
     void shut() const { ::shutdown(fd_, SHUT_RDWR); }
     int descriptor() const { return fd_; }
 
-    void reset() { // ends it so that the other side sees a reset
-        const linger now{1, 0};
-        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    /// Closes the connection so that the peer receives a TCP reset.
+    void reset() {
+        const linger zero_linger{1, 0};
+        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof zero_linger);
         close();
     }
 
-    // False: the other side has gone, and what it makes of that is the test's business.
+    /// Returns false if the peer has closed the connection; the test decides whether that is a failure.
     bool send(std::string_view bytes) const {
         while (!bytes.empty()) {
             const auto sent = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -83,22 +90,24 @@
         }
         return true;
     }
-    // More into `in`; false at the end of the connection. Silence beyond any reason fails the test.
-    bool more(int patience_ms = 15000) {
+    /// Receives more bytes into `in`; returns false at the end of the connection. Fails the test if nothing
+    /// arrives within `timeout_ms`.
+    bool more(int timeout_ms = 15000) {
         pollfd waiting{fd_, POLLIN, 0};
-        if (::poll(&waiting, 1, patience_ms) == 0)
-            assert(!"nothing came");
+        if (::poll(&waiting, 1, timeout_ms) == 0)
+            assert(!"received nothing within the timeout");
         char chunk[65536];
         const auto got = ::recv(fd_, chunk, sizeof chunk, 0);
         if (got > 0)
             in.append(chunk, static_cast<std::size_t>(got));
         return got > 0;
     }
+    /// True if neither data nor the end of the connection arrives within `ms`.
     bool silent_for(int ms) const {
         pollfd waiting{fd_, POLLIN, 0};
         return ::poll(&waiting, 1, ms) == 0;
     }
-    // One RESP message; nothing at the end.
+    /// Reads one RESP message; nullopt at the end of the connection.
     std::optional<resp::Value> value() {
         for (;;) {
             std::string_view bytes = in;
@@ -108,31 +117,33 @@
                 return v;
         }
     }
-    bool ended() { // reads on until the other side has closed
+    /// Reads until the peer has closed the connection.
+    bool ended() {
         while (more())
             ;
         return true;
     }
-    std::string in;
+    std::string in; ///< bytes received and not yet consumed
 
 private:
     resp::Reader reader_{resp::kMostAnswer};
     int fd_;
 };
 
-// Serves each connection by a thread of its own, until it goes.
+/// A TCP server on the loopback address that runs `handler` in a thread of its own for each connection, until
+/// it is stopped or destroyed.
 class Server {
 public:
     using Handler = std::function<void(Socket &)>;
-    explicit Server(Handler handler, int at = 0) : handler_(std::move(handler)) {
+    explicit Server(Handler handler, int listen_port = 0) : handler_(std::move(handler)) {
         fd_ = ::socket(AF_INET, SOCK_STREAM, 0);
         const int on = 1;
         setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-        sockaddr_in where = local(at);
-        assert(::bind(fd_, reinterpret_cast<sockaddr *>(&where), sizeof where) == 0);
-        socklen_t size = sizeof where;
-        getsockname(fd_, reinterpret_cast<sockaddr *>(&where), &size);
-        port = ntohs(where.sin_port);
+        sockaddr_in address = local(listen_port);
+        assert(::bind(fd_, reinterpret_cast<sockaddr *>(&address), sizeof address) == 0);
+        socklen_t size = sizeof address;
+        getsockname(fd_, reinterpret_cast<sockaddr *>(&address), &size);
+        port = ntohs(address.sin_port);
         ::listen(fd_, 64);
         accepting_ = std::thread([this] {
             for (int fd; (fd = ::accept(fd_, nullptr, nullptr)) >= 0;) {
@@ -170,22 +181,23 @@
     std::thread accepting_;
 };
 
-// Below the ports that the system gives to clients, or one of a test's many connections may take it before
-// the program does.
+/// Returns a free port below the system's ephemeral range; an ephemeral port could be taken by one of a
+/// test's many outgoing connections before the program binds it.
 inline int free_port() {
     static int last = 20'000 + ::getpid() * 37 % 12'000;
     for (;;) {
         last = last < 32'000 ? last + 1 : 20'000;
         const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-        const sockaddr_in at = local(last);
-        const bool free = ::bind(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0;
+        const sockaddr_in address = local(last);
+        const bool free = ::bind(fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0;
         ::close(fd);
         if (free)
             return last;
     }
 }
 
-// The head of the next HTTP request, taken off; nothing at the end of the connection.
+/// Consumes the head of the next HTTP request from the connection and returns it without the empty line;
+/// nullopt at the end of the connection.
 inline std::optional<std::string> next_head(Socket &s) {
     std::size_t end;
     while ((end = s.in.find("\r\n\r\n")) == std::string::npos)
@@ -195,44 +207,48 @@
     s.in.erase(0, end + 4);
     return head;
 }
-inline int number_behind(const std::string &head, const char *name, int otherwise) {
+/// The number that follows `name` in `head`; `fallback` if `name` does not occur.
+inline int number_behind(const std::string &head, const char *name, int fallback) {
     const std::size_t at = head.find(name);
-    return at == std::string::npos ? otherwise : std::atoi(head.c_str() + at + std::strlen(name));
+    return at == std::string::npos ? fallback : std::atoi(head.c_str() + at + std::strlen(name));
 }
 
-// Discovery: the list and watches on it.
+/// A fake discovery server: serves the endpoint list, and long-poll watches on it.
 class Discovery {
 public:
-    explicit Discovery(std::string members, int at = 0)
-        : members_(std::move(members)), server_([this](Socket &s) { serve(s); }, at) {}
+    explicit Discovery(std::string members, int listen_port = 0)
+        : members_(std::move(members)), server_([this](Socket &s) { serve(s); }, listen_port) {}
     ~Discovery() {
-        over_ = true;
+        stopping_ = true;
         changed_.notify_all();
     }
-    // `entries`, where given, are what a watch is told of it, instead of the whole list.
-    void change(const std::string &members, const std::string &entries = "") {
+    /// Publishes `members` as a new revision. If `changed_entries` is given, a watch that has the previous
+    /// revision receives these as an incremental answer instead of the full list.
+    void change(const std::string &members, const std::string &changed_entries = "") {
         const std::lock_guard lock(mutex_);
         members_ = members;
-        entries_ = entries;
+        changed_entries_ = changed_entries;
         ++revision_;
-        taken_.clear();
+        up_to_date_.clear();
         changed_.notify_all();
     }
-    // Takes calls and answers none; once it speaks again it answers those, too.
+    /// While `on`, accepts calls but answers none of them; they are answered once it is switched off.
     void silence(bool on) {
         const std::lock_guard lock(mutex_);
         silent_ = on;
         changed_.notify_all();
     }
-    // Until so many callers have said that they have what was changed last.
+    /// Waits until `callers` connections have asked for changes since the current revision, which shows that
+    /// their callers have it.
     void await_taken(std::size_t callers = 1) const {
         std::unique_lock lock(mutex_);
-        assert(changed_.wait_for(lock, 15s, [&] { return taken_.size() >= callers; }));
+        assert(changed_.wait_for(lock, 15s, [&] { return up_to_date_.size() >= callers; }));
     }
+    /// The current list as a complete answer, for the `known` setting of the configuration.
     std::string known() const { return answer(1, members_); }
     int port() const { return server_.port; }
-    std::atomic<int> calls = 0, failures = 0; // `failures`: how many calls yet fail with 503
-    std::atomic<int> wholes = 0;              // calls for the whole list
+    std::atomic<int> calls = 0, failures = 0; ///< `failures`: how many of the next calls fail with 503
+    std::atomic<int> wholes = 0;              ///< calls for the full list
 
 private:
     static std::string answer(int revision, const std::string &members, bool complete = true) {
@@ -246,47 +262,51 @@
                 s.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            const int seen = number_behind(*head, "since=", -1);
-            if (seen < 0)
+            const int known_revision = number_behind(*head, "since=", -1);
+            if (known_revision < 0)
                 ++wholes;
-            const auto until =
+            const auto deadline =
                 std::chrono::steady_clock::now() + number_behind(*head, "timeout_ms=", 0) * 1ms;
             std::unique_lock lock(mutex_);
-            if (seen == revision_)
-                taken_.insert(&s);
+            if (known_revision == revision_)
+                up_to_date_.insert(&s);
             changed_.notify_all();
-            const auto news = [&] { return over_ || (!silent_ && revision_ > seen); };
-            if (!changed_.wait_until(lock, until, news))
-                changed_.wait(lock, [&] { return over_ || !silent_; });
-            if (over_)
+            const auto can_answer = [&] { return stopping_ || (!silent_ && revision_ > known_revision); };
+            if (!changed_.wait_until(lock, deadline, can_answer))
+                changed_.wait(lock, [&] { return stopping_ || !silent_; });
+            if (stopping_)
                 return;
-            const bool whole = revision_ > seen && (entries_.empty() || seen != revision_ - 1);
+            const bool complete =
+                revision_ > known_revision && (changed_entries_.empty() || known_revision != revision_ - 1);
             const std::string body = answer(revision_,
-                                            whole              ? members_
-                                            : revision_ > seen ? entries_
-                                                               : "",
-                                            whole);
-            s.send("HTTP/1.1 103 Early Hints\r\nLink: </v1>\r\n\r\n"); // interim answers may come first
+                                            complete                     ? members_
+                                            : revision_ > known_revision ? changed_entries_
+                                                                         : "",
+                                            complete);
+            // Interim responses may precede the final one.
+            s.send("HTTP/1.1 103 Early Hints\r\nLink: </v1>\r\n\r\n");
             s.send(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
         }
     }
-    std::string members_, entries_;
+    std::string members_, changed_entries_;
     int revision_ = 1;
-    std::set<const Socket *> taken_; // connections whose caller has this revision
+    std::set<const Socket *> up_to_date_; // connections whose caller has the current revision
     bool silent_ = false;
-    std::atomic<bool> over_ = false;
+    std::atomic<bool> stopping_ = false;
     mutable std::mutex mutex_;
     mutable std::condition_variable changed_;
     Server server_;
 };
 
+/// One entry of the endpoint list as JSON.
 inline std::string member(const std::string &id, int port, int cell, const std::string &phase = "up") {
     return fmt::format(R"({{"id":"{}","host_port":"127.0.0.1:{}","locality":"a","flavor":"m","cell":{},)"
                        R"("phase":"{}","size":1.0,"up_since_ms":0}})",
                        id, port, cell, phase);
 }
 
-// A node that speaks RESP2. The script makes an answer of a command; an empty one closes the connection.
+/// A fake node that speaks RESP2. The script returns the answer to the `nth` command (from 1), over all
+/// connections; an empty answer closes the connection.
 class RespNode {
 public:
     using Script = std::function<std::string(const std::vector<std::string> &words, int nth)>;
@@ -299,8 +319,8 @@
                   int nth;
                   {
                       const std::lock_guard lock(mutex_);
-                      taken_.push_back(words);
-                      nth = static_cast<int>(taken_.size());
+                      received_.push_back(words);
+                      nth = static_cast<int>(received_.size());
                   }
                   const std::string answer = script_(words, nth);
                   if (answer.empty())
@@ -308,25 +328,28 @@
                   s.send(answer);
               }
           }) {}
+    /// A successful answer with `value` and the node's cost report.
     static std::string served(const std::string &value) {
         std::string out = "*3\r\n";
         resp::put_bulk(out, value);
         return out + "$15\r\nused=37,cost=41\r\n$-1\r\n";
     }
+    /// All commands received so far.
     std::vector<std::vector<std::string>> taken() const {
         const std::lock_guard lock(mutex_);
-        return taken_;
+        return received_;
     }
 
 private:
     Script script_;
     mutable std::mutex mutex_;
-    std::vector<std::vector<std::string>> taken_;
+    std::vector<std::vector<std::string>> received_;
 
 public:
     Server server;
 };
 
+/// The usual settings, with the classes `read` and `new-write` and one plan.
 inline const std::string kSettings =
     R"({"bounds":{"cancel":true,"connect_timeout":250.0,"idle_close":15000.0,"max_attempts":4,)"
     R"("max_retry_after":500.0,"may_duplicate":true,"peers":true,"probes":false,"retry_after":true},)"
@@ -338,8 +361,8 @@
     R"("usual_units":2.18},"instances":1,"membership_mode":"on_request","period":2.0,"policies":[)"
     R"({"name":"standard","nominal":700.0,"parts":1.0,"pays":1.2,"reserve":800.0}],"position":0})";
 
-// With a latency objective of 5 s for reads, so that a retry is still timely where the machine has stalled:
-// late work is held back (policy/admission.hpp).
+/// kSettings with a latency target of 5 s and a hard limit of 8 s for reads, so that a retry is still on time
+/// after the test machine has stalled: the broker holds back late work (policy/admission.hpp).
 inline std::string settings_with_patient_reads() {
     std::string settings = kSettings;
     const auto replace = [&](const std::string &from, const std::string &to) {
@@ -350,15 +373,16 @@
     replace(R"("hard_limit":1500.0)", R"("hard_limit":8000.0)");
     return settings;
 }
-inline constexpr int kPatientWait = 8000; // ms
+/// The time for which a client of these settings waits for a read, in ms.
+inline constexpr int kPatientWait = 8000;
 
-// A process of the program, with what it says in a file; it goes with its holder.
+/// A process of the program whose stderr goes to a file. The destructor kills the process.
 class Child {
 public:
     ~Child() { kill(); }
-    void start(std::vector<std::string> words, const std::string &log, const std::string &folder,
+    void start(std::vector<std::string> arguments, const std::string &log, const std::string &folder,
                int control) {
-        words.insert(words.begin(), MARBLEWOOD_PROGRAM);
+        arguments.insert(arguments.begin(), MARBLEWOOD_PROGRAM);
         pid_ = ::fork();
         if (pid_ != 0)
             return;
@@ -367,12 +391,14 @@
         ::setenv("TMPDIR", folder.c_str(), 1);
         if (control)
             ::setenv("BALANCER_CONTROL", fmt::format("127.0.0.1:{}", control).c_str(), 1);
-        // Freed memory is free, where tests measure it; a shim of a test may be loaded before the sanitizer.
+        // A small quarantine, so that memory held back by AddressSanitizer does not distort tests that
+        // measure memory; no check of the link order, so that a test can preload its shim before the
+        // sanitizer's runtime.
         ::setenv("ASAN_OPTIONS", "quarantine_size_mb=1:verify_asan_link_order=0", 1);
-        ::prctl(PR_SET_PDEATHSIG, SIGKILL); // a test that fails leaves no program behind
+        ::prctl(PR_SET_PDEATHSIG, SIGKILL); // a failed test must not leave the program running
         std::vector<char *> argv;
-        for (std::string &word : words)
-            argv.push_back(word.data());
+        for (std::string &argument : arguments)
+            argv.push_back(argument.data());
         argv.push_back(nullptr);
         ::execv(argv[0], argv.data());
         ::_exit(127);
@@ -384,7 +410,8 @@
         ::kill(pid_, SIGKILL);
         exit_code();
     }
-    int exit_code() { // waits for its end
+    /// Waits for the process to exit; 128 plus the signal's number if a signal ended it.
+    int exit_code() {
         int status = 0;
         ::waitpid(std::exchange(pid_, -1), &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -396,33 +423,35 @@
     pid_t pid_ = -1;
 };
 
-// A call to an operators' address: the status and the body; 0 where nobody is there.
+/// Calls the admin endpoint at `port`; returns the HTTP status and the body, or status 0 if the connection is
+/// refused or ends without an answer.
 inline std::pair<int, std::string> operators_call(int port, const std::string &method,
-                                                  const std::string &what, const std::string &body = "") {
+                                                  const std::string &path, const std::string &body = "") {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-    const sockaddr_in at = local(port);
+    const sockaddr_in address = local(port);
     Socket caller(fd);
-    if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) != 0)
+    if (::connect(fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0)
         return {0, ""};
     caller.send(fmt::format("{} /admin/{} HTTP/1.1\r\nHost: broker\r\nContent-Length: {}\r\n\r\n{}", method,
-                            what, body.size(), body));
+                            path, body.size(), body));
     caller.ended();
     if (!caller.in.starts_with("HTTP/1.1 "))
         return {0, ""};
     return {std::atoi(caller.in.c_str() + 9), caller.in.substr(caller.in.find("\r\n\r\n") + 4)};
 }
 
-// What a program may be told of as its discovery.
+/// A discovery server that a program's configuration can name.
 template <typename T>
 concept ListSource = requires(const T &source) {
     { source.port() } -> std::convertible_to<int>;
     { source.known() } -> std::convertible_to<std::string>;
 };
 
-// The real program, with a configuration of its own in a folder that goes with it.
+/// The real program, with its configuration and log in a folder that the destructor removes.
 class Program {
 public:
-    int port = 0, control = 0;
+    int port = 0, control = 0; ///< the ports for clients and for admin calls
+    /// Starts the program and waits until it answers PING.
     explicit Program(const ListSource auto &discovery, const std::string &operators = "",
                      const std::string &settings = kSettings, const std::filesystem::path &folder = {},
                      int listen = 0, std::string name = "n0")
@@ -433,10 +462,10 @@
             write("operator.json", operators);
         start(operators.empty() ? std::vector<std::string>{}
                                 : std::vector<std::string>{"--operator", folder_ / "operator.json"});
-        for (int n = 0; n < 500; ++n) { // until it answers
+        for (int n = 0; n < 500; ++n) {
             const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-            const sockaddr_in at = local(port);
-            if (::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0) {
+            const sockaddr_in address = local(port);
+            if (::connect(fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0) {
                 Socket s(fd);
                 s.send("*1\r\n$4\r\nPING\r\n");
                 assert(s.value()->text == "PONG");
@@ -447,19 +476,20 @@
         }
         assert(!"the program does not answer");
     }
-    // Started beside its predecessor, with an operators' address of its own, until it says yes.
+    /// Starts a hot-restart successor beside `predecessor`, with an admin port of its own, and waits until
+    /// its health call succeeds.
     explicit Program(const Program &predecessor)
         : port(predecessor.port), control(free_port()), folder_(predecessor.folder_), successor_(true) {
         start({});
         for (int n = 0; n < 500; ++n, std::this_thread::sleep_for(10ms)) {
             const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-            const sockaddr_in at = local(control);
-            const bool up = ::connect(fd, reinterpret_cast<const sockaddr *>(&at), sizeof at) == 0;
+            const sockaddr_in address = local(control);
+            const bool up = ::connect(fd, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0;
             ::close(fd);
             if (up && call("GET", "health").first == 200)
                 return;
         }
-        assert(!"the successor does not say yes");
+        assert(!"the successor did not become healthy");
     }
     ~Program() {
         child_.kill();
@@ -491,7 +521,8 @@
             std::this_thread::sleep_for(10ms);
         assert(log().find(words) != std::string::npos);
     }
-    std::size_t memory_kb() const { // resident
+    /// Resident memory of the process.
+    std::size_t memory_kb() const {
         std::ifstream status(fmt::format("/proc/{}/status", child_.pid()));
         for (std::string word; status >> word;)
             if (word == "VmRSS:" && status >> word)
@@ -504,14 +535,15 @@
     bool running() const { return child_.running(); }
     pid_t pid() const { return child_.pid(); }
     Socket client() const { return Socket::to(port); }
-    // A call of an operator: the status and the body.
-    std::pair<int, std::string> call(const std::string &method, const std::string &what,
+    /// Makes an admin call; returns the HTTP status and the body.
+    std::pair<int, std::string> call(const std::string &method, const std::string &path,
                                      const std::string &body = "") const {
-        const auto reply = operators_call(control, method, what, body);
+        const auto reply = operators_call(control, method, path, body);
         assert(reply.first != 0);
         return reply;
     }
-    std::map<std::string, long> figures() const { // by their names behind `balancer.`
+    /// The program's metrics, by their names without the prefix `balancer.`.
+    std::map<std::string, long> figures() const {
         const auto [status, body] = call("GET", "stats");
         assert(status == 200);
         std::map<std::string, long> all;
@@ -525,10 +557,10 @@
     }
 
 private:
-    void start(const std::vector<std::string> &more) {
-        std::vector<std::string> words{"--config", folder_ / "config.json"};
-        words.insert(words.end(), more.begin(), more.end());
-        child_.start(std::move(words), log_path(), folder_, control);
+    void start(const std::vector<std::string> &more_arguments) {
+        std::vector<std::string> arguments{"--config", folder_ / "config.json"};
+        arguments.insert(arguments.end(), more_arguments.begin(), more_arguments.end());
+        child_.start(std::move(arguments), log_path(), folder_, control);
     }
     static std::filesystem::path make_folder() {
         std::string name = std::filesystem::temp_directory_path() / "marblewood-XXXXXX";
@@ -542,23 +574,26 @@
     Child child_;
 };
 
-inline std::string fresh_id() { // every request bears its own
+/// A request ID that no other request of this process has.
+inline std::string fresh_id() {
     static std::atomic<std::uint64_t> last = 0x9b1f03aa5c7e2d41;
     return fmt::format("{:016x}", ++last);
 }
-inline std::string get(const std::string &piece, int shard = 0, int wait = 1500,
+/// A read of `piece` for a client that waits `wait_ms`.
+inline std::string get(const std::string &piece, int shard = 0, int wait_ms = 1500,
                        const std::string &id = fresh_id()) {
     return resp::command(
         {"OBJ.GET", piece, id,
-         fmt::format("c=read,t=standard,d={},volume=00000003b4d60021,units=2,shard={},hosts=1", wait,
+         fmt::format("c=read,t=standard,d={},volume=00000003b4d60021,units=2,shard={},hosts=1", wait_ms,
                      shard)});
 }
-inline std::string put(const std::string &piece, const std::string &body, int shard = 0, int wait = 2500) {
+/// A deduplicated write of `piece` for a client that waits `wait_ms`; the idempotency key is always the same.
+inline std::string put(const std::string &piece, const std::string &body, int shard = 0, int wait_ms = 2500) {
     return resp::command(
         {"OBJ.PUT", piece, fresh_id(),
          fmt::format("c=new-write,t=standard,d={},k=5c0f6e1a2b3d4c59,volume=00000003b4d60021,"
                      "units=2,shard={},hosts=1",
-                     wait, shard),
+                     wait_ms, shard),
          body});
 }
 
--- a/tests/syscall_test.cpp
+++ b/tests/syscall_test.cpp
@@ -1,5 +1,6 @@
-// The program while its system calls on sockets fail in ways that Linux documents: every request gets its one
-// answer, and the program ends in time.
+/// \file
+/// The program while its system calls on sockets fail in ways that Linux documents: every request gets
+/// exactly one answer, and the program exits in time after SIGTERM.
 #include "faults/syscall_faults.hpp"
 #include "helper.hpp"
 
@@ -11,44 +12,47 @@
 namespace {
 
 const std::string kPiece = "7f3a9c21e0b4d655";
-constexpr auto kWait = 1500ms;         // a client's, as get() has it
-constexpr auto kAnswerWithin = 2000ms; // its time, and half a second in which an answer only earns nothing
+constexpr auto kClientWait = 1500ms; // the default of get()
+// kClientWait, and 500 ms in which an answer is too late to be of value but is not yet a failure of this
+// test.
+constexpr auto kAnswerWithin = 2000ms;
 
 RespNode::Script echo(std::size_t length) {
     return [length](const auto &words, int) { return RespNode::served(words[2] + std::string(length, 'v')); };
 }
 
-struct Tally {
+struct Outcomes {
     std::size_t served = 0, refused = 0, failed = 0;
 };
 
-// Asks one request after another on a connection, or each on a new one; each has to have its answer in time.
-Tally ask(const Program &program, int count, bool new_connections) {
-    Tally tally;
+// Sends one request after another, on one connection or each on a new one; each must be answered in time.
+Outcomes ask(const Program &program, int count, bool new_connections) {
+    Outcomes outcomes;
     std::optional<Socket> client;
     for (int n = 0; n < count; ++n) {
         if (!client || new_connections)
             client.emplace(program.client());
-        const auto from = Clock::now();
+        const auto sent_at = Clock::now();
         const std::string id = fresh_id();
-        client->send(get(kPiece, 0, static_cast<int>(kWait.count()), id));
+        client->send(get(kPiece, 0, static_cast<int>(kClientWait.count()), id));
         const auto answer = client->value();
         assert(answer);
-        assert(Clock::now() - from < kAnswerWithin);
+        assert(Clock::now() - sent_at < kAnswerWithin);
         if (answer->text.starts_with(id))
-            ++tally.served;
+            ++outcomes.served;
         else if (answer->text.starts_with("BUSY"))
-            ++tally.refused;
+            ++outcomes.refused;
         else if (answer->text.starts_with("ERR failed"))
-            ++tally.failed;
+            ++outcomes.failed;
         else
-            assert(!"an answer that is none");
+            assert(!"unexpected answer");
     }
-    return tally;
+    return outcomes;
 }
 
-// `least`: how many of 100 requests have to be served all the same.
-void requests_are_answered(const std::string &plan, std::size_t value_bytes, std::size_t least) {
+// Runs the program with a fault plan; at least `min_served` of each 100 requests must be served in spite of
+// the faults.
+void requests_are_answered(const std::string &plan, std::size_t value_bytes, std::size_t min_served) {
     fmt::print("{}\n", plan);
     std::fflush(stdout);
     RespNode node(echo(value_bytes));
@@ -56,17 +60,19 @@
     const SyscallFaults faults(plan, 1);
     Program program(discovery);
     for (const bool new_connections : {false, true}) {
-        const Tally tally = ask(program, 100, new_connections);
-        fmt::print("  served {} refused {} failed {}\n", tally.served, tally.refused, tally.failed);
-        assert(tally.served >= least);
+        const Outcomes outcomes = ask(program, 100, new_connections);
+        fmt::print("  served {} refused {} failed {}\n", outcomes.served, outcomes.refused, outcomes.failed);
+        assert(outcomes.served >= min_served);
     }
-    const auto told = Clock::now();
+    const auto sigterm_at = Clock::now();
     program.signal(SIGTERM);
     assert(program.exit_code() == 0);
-    assert(Clock::now() - told < 3200ms); // the longest deadline and 0.7 s
+    // The longest deadline is 2.5 s, and the platform may kill the process 0.7 s later.
+    assert(Clock::now() - sigterm_at < 3200ms);
 }
 
-// No connection comes after it that would wake the program up.
+// Guards against a pending connection that is forgotten after a failed accept: no further connection arrives
+// that would wake up the program.
 void a_connection_whose_accept_failed_is_accepted_all_the_same() {
     for (const std::string error : {"ECONNABORTED", "EPROTO", "EAGAIN", "ENFILE", "ENETDOWN"}) {
         RespNode node(echo(10));
@@ -75,17 +81,17 @@
         const Program program(discovery);
         for (int n = 0; n < 20; ++n) {
             Socket client = program.client();
-            const auto from = Clock::now();
+            const auto sent_at = Clock::now();
             client.send(get(kPiece));
             assert(client.value());
-            assert(Clock::now() - from < kAnswerWithin);
+            assert(Clock::now() - sent_at < kAnswerWithin);
         }
     }
 }
 
 struct Scenario {
     const char *name;
-    std::function<void()> play;
+    std::function<void()> run;
 };
 const std::vector<Scenario> kScenarios{
     {"accept", a_connection_whose_accept_failed_is_accepted_all_the_same},
@@ -104,7 +110,7 @@
 
 } // namespace
 
-// Plays all scenarios, or the one that is named.
+// Runs all scenarios, or only the one named by the first argument.
 int main(int argc, char **argv) {
     const std::string only = argc > 1 ? argv[1] : "";
     for (const Scenario &scenario : kScenarios) {
@@ -112,6 +118,6 @@
             continue;
         fmt::print("{}\n", scenario.name);
         std::fflush(stdout);
-        scenario.play();
+        scenario.run();
     }
 }
