--- a/src/cells/cell_coordinator.cpp
+++ b/src/cells/cell_coordinator.cpp
@@ -3,7 +3,8 @@
 namespace marblewood::cells {
 namespace {
 
-constexpr std::size_t kMaxDeltaPins = 256; // beyond that a snapshot is sent
+/// A map change that affects more pins than this is published as a snapshot.
+constexpr std::size_t kMaxDeltaPins = 256;
 
 } // namespace
 
@@ -19,7 +20,8 @@
     adopt_map(state.map);
     operator_pins_ = std::move(state.operator_pins);
     migrations_ = std::move(state.migrations);
-    std::erase_if(migrations_, [&](const auto &entry) { // the operators' file may have dropped a cell since
+    // The operators' file may no longer contain a cell of a migration.
+    std::erase_if(migrations_, [&](const auto &entry) {
         return !map_.cell(entry.second.source_cell) || !map_.cell(entry.second.target_cell);
     });
     for (auto &[volume, migration] : migrations_) {
@@ -30,7 +32,8 @@
     }
 }
 
-/// Takes over what an earlier map knows better than the operators' file: pins and the cells' states.
+/// Copies the epoch, the pins and the frozen and evacuated flags from `map`. The operators' file does not
+/// contain them. Pins to cells that no longer exist are dropped.
 void CellCoordinator::adopt_map(const CellMap &map) {
     map_.epoch = map.epoch;
     map_.pins.clear();
@@ -59,8 +62,8 @@
     return delta;
 }
 
-/// Gives the map its next epoch and sends it to all brokers: a delta to those that hold the last one, if only
-/// pins have changed, and a snapshot to the others.
+/// Assigns the next epoch to the map and sends the map to all brokers. If only pins have changed, brokers
+/// that hold the previously published map get a delta; all others get a snapshot.
 void CellCoordinator::publish_map(CoordinatorActions &actions) {
     map_.epoch = next_epoch();
     actions.emplace_back(SaveState{});
@@ -71,13 +74,13 @@
     for (const Cell &cell : map_.cells) {
         for (const Broker &broker : cell.brokers) {
             const auto status = brokers_.find(broker.name);
-            const bool heard = status != brokers_.end();
-            if (delta_suffices && heard && status->second.map_epoch == published_.epoch)
+            const bool has_reported = status != brokers_.end();
+            if (delta_suffices && has_reported && status->second.map_epoch == published_.epoch)
                 actions.emplace_back(OutgoingMessage{broker.name, delta});
             else
                 send_snapshot(broker.name, actions);
-            if (heard)
-                status->second.map_epoch = map_.epoch; // if the message is lost, the next heartbeat shows it
+            if (has_reported)
+                status->second.map_epoch = map_.epoch; // assumes delivery; the next heartbeat reveals a loss
         }
     }
     published_ = map_;
--- a/src/cells/cell_coordinator.hpp
+++ b/src/cells/cell_coordinator.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The cell coordinator's decisions: the one cell map, the one epoch counter, every migration. No I/O and no
-/// clock; what has to be done is appended to a list of actions. docs/design/cells.md has the protocol.
+/// The cell coordinator's state machine. It owns the cell map and the epoch counter and controls every
+/// migration. It performs no I/O and reads no clock: it appends the actions to perform to a list. The
+/// protocol is described in docs/design/cells.md.
 #pragma once
 
 #include "cells/coordinator_state.hpp"
@@ -8,68 +9,71 @@
 
 namespace marblewood::cells {
 
-/// Action: a line for the log, `event key=value ...`.
+/// Action: write a log line of the form `event key=value ...`.
 struct LogEntry {
     std::string text;
 };
 using CoordinatorAction = std::variant<OutgoingMessage, SaveState, LogEntry>;
 using CoordinatorActions = std::vector<CoordinatorAction>;
 
-/// State machine of the coordinator. Not thread-safe. Times are in us of the clock that the caller uses for
-/// every call.
+/// State machine of the coordinator. Not thread-safe. The caller must take the times of all calls from the
+/// same clock.
 class CellCoordinator {
 public:
     struct Timing {
-        Micros resend_interval = 200'000;  ///< us until an unanswered step is sent again.
-        Micros step_timeout = 2'000'000;   ///< us for a stage before Opening; then the migration is aborted.
-        Micros drain_timeout = 4'000'000;  ///< us for open requests at the sources.
-        std::size_t max_migrations = 8;    ///< Started by rules and under way at a time.
-        Micros volume_expiry = 15'000'000; ///< us until a volume that nobody reports is forgotten.
-        bool evacuate_drained = true;      ///< Evacuate a cell none of whose nodes takes requests.
-        Micros drained_for = 1'000'000;    ///< us for which that must have been so.
+        Micros resend_interval = 200'000;  ///< Unanswered steps are sent again after this time.
+        Micros step_timeout = 2'000'000;   ///< For each stage before Opening; then the migration is aborted.
+        Micros drain_timeout = 4'000'000;  ///< For open requests at the source brokers to finish.
+        std::size_t max_migrations = 8;    ///< Rules start no migration while this many are active.
+        Micros volume_expiry = 15'000'000; ///< A volume that no broker reports for this time is forgotten.
+        bool evacuate_drained = true; ///< Evacuate a cell when none of its nodes accepts requests any more.
+        Micros min_drained_time = 1'000'000; ///< Time without a ready node before a cell is evacuated.
     };
-    /// The answer to an operator: done, or why not.
+    /// The reply to an operator's call: success, or the reason for the refusal.
     struct OperatorResult {
         bool ok = false;
         std::string text;
     };
 
-    /// \param initial the map of the operators' file; a state given to restore() overrides its volumes.
-    /// \param origin random for each start.
+    /// \param initial the map of the operators' file; a state passed to restore() replaces its pins and the
+    /// cells' frozen and evacuated flags.
+    /// \param origin a random number, new for each start of the coordinator.
     /// \throws std::invalid_argument if the map is not valid.
     CellCoordinator(CellMap initial, std::uint64_t origin, Timing timing);
-    /// Continues from an earlier run; to be called before anything else. Cells, brokers and nodes stay those
-    /// of the initial map.
+    /// Continues from the state of an earlier run. Must be called before any other function. Cells, brokers
+    /// and nodes are still those of the initial map.
     void restore(CoordinatorState state);
     CoordinatorState state() const { return {map_, epoch_counter_, operator_pins_, migrations_}; }
 
     void on_message(Micros now, const std::string &sender, const Message &message,
                     CoordinatorActions &actions);
-    /// Sends steps again, aborts what takes too long and starts migrations by rule; to be called several
-    /// times a second.
+    /// Sends unanswered steps again, aborts migrations that have timed out and starts migrations by rule.
+    /// Must be called several times a second.
     void tick(Micros now, CoordinatorActions &actions);
 
     /// Migrates a volume and pins it in the target cell.
     OperatorResult move(Micros now, VolumeId volume, const std::string &target_cell,
                         CoordinatorActions &actions);
-    /// Pins a volume where it is.
+    /// Pins a volume in its current cell.
     OperatorResult pin(VolumeId volume, CoordinatorActions &actions);
-    /// Removes the pin; the volume migrates to where its hash puts it.
+    /// Removes the pin and migrates the volume to the cell that the hash assigns.
     OperatorResult unpin(Micros now, VolumeId volume, CoordinatorActions &actions);
-    /// Lets no volume migrate into or out of the cell, or lets them again.
+    /// Forbids or allows migrations into and out of the cell.
     OperatorResult set_frozen(const std::string &cell, bool frozen, CoordinatorActions &actions);
+    /// Migrates all volumes out of the cell, and assigns it no volumes by hash until restore_cell().
     OperatorResult evacuate(const std::string &cell, CoordinatorActions &actions);
-    /// Ends an evacuation: the cell gets volumes by hash again.
+    /// Ends an evacuation: volumes are assigned to the cell by hash again.
     OperatorResult restore_cell(const std::string &cell, CoordinatorActions &actions);
-    /// Takes another layout of cells, brokers, nodes and capacities. Known volumes stay where they are and
-    /// then migrate, one by one, to where their hash puts them. Refused, with nothing changed, if a cell with
-    /// volumes would be removed or change its brokers.
+    /// Replaces the layout of cells, brokers, nodes and capacities. Known volumes first stay in their cells
+    /// and then migrate, one by one, to the cells that the hash assigns. The call fails and changes nothing
+    /// without a quorum, during migrations, or if the layout removes a cell or changes its brokers while that
+    /// cell is not evacuated or still has volumes.
     /// \throws std::invalid_argument if the layout is not valid.
     OperatorResult relayout(CellMap layout, CoordinatorActions &actions);
-    /// Describes where a volume is, and why; several lines.
+    /// Describes in several lines which cell serves a volume and why.
     std::string where(VolumeId volume) const;
 
-    /// Whether a majority of the brokers has been heard since the start.
+    /// Whether a majority of the brokers has sent a heartbeat since the coordinator started.
     bool has_quorum() const { return has_quorum_; }
     const CellMap &map() const { return map_; }
     const std::map<VolumeId, Migration> &migrations() const { return migrations_; }
@@ -84,16 +88,16 @@
     struct CellStatus {
         std::size_t volumes = 0;
         double reserved_rate = 0; ///< Units a second.
-        double rate = 0;          ///< Units a second, served.
+        double rate = 0;          ///< Units a second, as served by the cell.
         std::uint32_t ready_nodes = 0;
-        std::size_t brokers_heard = 0; ///< Lately.
+        std::size_t reporting_brokers = 0; ///< Brokers with a recent heartbeat.
     };
     std::map<std::string, CellStatus> cell_status(Micros now) const;
 
 private:
-    /// What a broker said last.
+    /// Contents of a broker's last heartbeat.
     struct BrokerStatus {
-        Micros heard_at = 0;
+        Micros received_at = 0;
         std::uint32_t ready_nodes = 0;
         Epoch map_epoch;
         std::map<VolumeId, VolumeLoad> volumes;
@@ -155,7 +159,7 @@
     bool has_volumes(const Cell &cell) const;
 
     CellMap map_;
-    CellMap published_; ///< As last sent to the brokers.
+    CellMap published_; ///< The map as last sent to the brokers.
     std::uint64_t origin_;
     std::uint64_t epoch_counter_ = 0;
     std::uint64_t newest_reported_epoch_ = 0; ///< Number of the newest map that a broker has reported.
@@ -164,9 +168,10 @@
     std::map<VolumeId, Migration> migrations_;
     std::map<std::string, BrokerStatus> brokers_;
     std::map<VolumeId, KnownVolume> known_volumes_;
-    std::set<std::string> once_ready_; ///< Cells that have had a ready node since the start.
+    std::set<std::string> cells_once_ready_; ///< Cells that have had a ready node since the start.
     std::map<std::string, Micros> drained_since_;
-    std::map<VolumeId, Micros> retry_after_; ///< After an abort: no rule migrates the volume before that.
+    /// After an abort, no rule migrates the volume before this time.
+    std::map<VolumeId, Micros> retry_after_;
     Counters counters_;
     bool has_quorum_ = false;
     Micros now_ = 0;
--- a/src/cells/cell_map.cpp
+++ b/src/cells/cell_map.cpp
@@ -9,11 +9,12 @@
 namespace marblewood::cells {
 namespace {
 
-constexpr int kDiscardedHashBits = 11;            // a double holds 53 of 64 bits exactly
+constexpr int kDiscardedHashBits = 11;            // a double represents only 53 of the 64 bits exactly
 constexpr double kHashRange = 9007199254740992.0; // 2^53
 
-/// Weighted rendezvous hashing (the logarithmic method of Schindelhauer and Schomaker): -ln(u) / weight with
-/// u uniform by the hash. The smallest score wins, with a probability proportional to its weight.
+/// Weighted rendezvous hashing (the logarithmic method of Schindelhauer and Schomaker). The score is
+/// -ln(u) / weight, where the hash determines u, uniform between 0 and 1. The candidate with the smallest
+/// score is chosen; the probability of being chosen is proportional to the weight.
 double rendezvous_score(VolumeId volume, std::string_view name, double weight) {
     if (!(weight > 0))
         return std::numeric_limits<double>::infinity();
@@ -27,7 +28,7 @@
     const T *item = nullptr;
 };
 
-/// The items in ascending order of score; equal scores in the order of their names.
+/// Returns the items in ascending order of score; items of equal score are ordered by name.
 template <typename T> std::vector<const T *> by_score(std::vector<Scored<T>> scored) {
     std::sort(scored.begin(), scored.end(), [](const auto &a, const auto &b) {
         return a.score != b.score ? a.score < b.score : a.item->name < b.item->name;
@@ -43,7 +44,7 @@
     throw std::invalid_argument(reason);
 }
 
-/// Names and nodes seen so far, to find duplicates over all cells.
+/// Names and nodes of the cells checked so far, to find duplicates across cells.
 struct SeenNames {
     std::set<std::string> cells;
     std::set<std::string> brokers;
--- a/src/cells/cell_member.cpp
+++ b/src/cells/cell_member.cpp
@@ -3,8 +3,8 @@
 namespace marblewood::cells {
 namespace {
 
-constexpr Micros kVolumeIdleTimeout = 10'000'000; // us without a request until a volume is forgotten
-constexpr double kRateSmoothing = 0.5;            // weight of the newest interval
+constexpr Micros kVolumeIdleTimeout = 10'000'000; // a volume without requests for this time is forgotten
+constexpr double kRateSmoothing = 0.5;            // weight of the newest interval in the moving average
 constexpr double kMicrosPerSecond = 1e6;
 
 std::uint64_t number(VolumeId volume) {
@@ -18,7 +18,7 @@
 
 void CellMember::restore(MemberState state) {
     map_ = std::move(state.map);
-    map_attested_ = map_.has_value();
+    map_confirmed_ = map_.has_value();
     highest_epoch_ = state.highest_epoch;
     records_ = std::move(state.records);
     active_migrations_ = std::move(state.active_migrations);
@@ -34,12 +34,13 @@
     return found && (found->stage == MemberStage::Fenced || found->stage == MemberStage::Drained);
 }
 
-/// Whether a migration that ended here is newer than the map.
+/// Whether the record's home cell takes precedence over the map, because the migration that set it is newer
+/// than the map or was still active when the map was published.
 bool CellMember::overrides_map(const MigrationRecord &record) const {
     return record.home_epoch > map_->epoch.number || active_migrations_.contains(record.home_epoch);
 }
 
-/// The volume's cell as far as this broker knows.
+/// The volume's cell according to the map and the migrations that this broker took part in; null if unknown.
 const Cell *CellMember::home_cell(VolumeId volume) const {
     if (!map_)
         return nullptr;
@@ -59,7 +60,8 @@
     return {RoutingDecision::Kind::Forward, broker, 1};
 }
 
-/// A repeat goes where the first attempt may have run; nothing if no migration has separated the two.
+/// Routes a request whose idempotency key was used before a migration to the broker where the first attempt
+/// may have run. Returns nothing if no migration affects the request.
 std::optional<RoutingDecision> CellMember::route_repeat(Micros now, const RoutingRequest &request,
                                                         const Cell &home, const Cell &own) const {
     if (!request.idempotency_key)
@@ -91,7 +93,7 @@
         return {RoutingDecision::Kind::Wait, {}, 1};
     if (home == own && map_->serves(request.volume, *home, name_)) {
         if (ready_nodes_ == 0)
-            return {}; // rejected at once: no node of the cell takes requests
+            return {}; // rejects at once: no node of the cell accepts requests
         return {RoutingDecision::Kind::Serve, {}, serving_brokers(request.volume, *home)};
     }
     const auto brokers = map_->brokers_of(request.volume, *home);
@@ -113,7 +115,8 @@
         key.limited = request.limited;
         ++key.open_requests;
     }
-    // A repeat for a volume that has left is paid out of the units that were retained for it.
+    // If the volume has migrated away, this is a repeat of a key used here. It is charged to the units that
+    // were retained for such repeats.
     if (request.limited && home_cell(request.volume) != cell()) {
         activity.retained_units = std::max(0.0, activity.retained_units - request.units);
         quotas_.set(request.volume, request.units, 0);
@@ -150,7 +153,7 @@
         on_step(now, *step, actions);
     if (const auto *snapshot = std::get_if<MapSnapshot>(&message)) {
         if (sender == kCoordinator)
-            map_attested_ = true;
+            map_confirmed_ = true;
         on_snapshot(now, *snapshot, actions);
     }
     if (const auto *delta = std::get_if<MapDelta>(&message))
@@ -164,7 +167,7 @@
             actions.emplace_back(OutgoingMessage{sender, MapSnapshot{*map_, {}}});
 }
 
-/// Rates are an exponential moving average over heartbeat intervals.
+/// Updates each volume's rate, an exponential moving average over heartbeat intervals.
 void CellMember::update_rates(Micros now) {
     const double seconds = static_cast<double>(now - last_heartbeat_) / kMicrosPerSecond;
     for (auto &[volume, activity] : volumes_) {
@@ -175,7 +178,7 @@
     }
 }
 
-/// Loads of the volumes that live in this cell, the busiest first.
+/// Loads of the volumes whose home is this cell, ordered by descending rate.
 std::vector<VolumeLoad> CellMember::volume_loads() const {
     std::vector<VolumeLoad> loads;
     for (const auto &[id, activity] : volumes_) {
@@ -190,7 +193,7 @@
 }
 
 void CellMember::send_heartbeat(Micros now, MemberActions &actions) {
-    // Heartbeats out of turn come too soon after the last one to measure a rate.
+    // An unscheduled heartbeat may follow the previous one too soon to measure a rate.
     const bool measures_rates = now - last_heartbeat_ >= timing_.heartbeat_interval / 2;
     if (measures_rates)
         update_rates(now);
--- a/src/cells/cell_member.hpp
+++ b/src/cells/cell_member.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// A broker's part in the cells: where each request goes, and the broker's side of every migration. No I/O
-/// and no clock; what has to be done is appended to a list of actions. docs/design/cells.md has the protocol.
+/// The state machine of a broker in a cell. It decides where each request is routed and carries out the
+/// broker's side of every migration. It performs no I/O and reads no clock: it appends the actions to perform
+/// to a list. The protocol is described in docs/design/cells.md.
 #pragma once
 
 #include "cells/member_state.hpp"
@@ -11,71 +12,74 @@
 
 namespace marblewood::cells {
 
-/// Action: requests of this volume that wait are to be routed again.
+/// Action: route the waiting requests of this volume again.
 struct RerouteWaiting {
     VolumeId volume{};
 };
-/// Action: map() has changed.
+/// Action: react to a change of CellMember::map().
 struct MapChanged {};
 
 using MemberAction = std::variant<OutgoingMessage, SaveState, RerouteWaiting, MapChanged>;
 using MemberActions = std::vector<MemberAction>;
 
-/// The quota of a volume in the decision module.
+/// Access to the remaining quota of volumes, which the decision module keeps.
 class QuotaStore {
 public:
     virtual ~QuotaStore() = default;
-    /// Returns what is left and leaves nothing.
+    /// Returns the remaining quota and sets it to zero.
     virtual TransferredQuota take(VolumeId volume) = 0;
-    /// Sets what is left, in units.
+    /// Sets the remaining units of the plan's limit and reserve.
     virtual void set(VolumeId volume, double limit_units, double reserve_units) = 0;
 };
 
-/// What decides where a request goes.
+/// The properties of a request that determine its routing.
 struct RoutingRequest {
     VolumeId volume{};
-    std::optional<std::uint64_t> idempotency_key; ///< Hash of the key, in a class with keys.
+    std::optional<std::uint64_t> idempotency_key; ///< Hash of the key, if the request's class uses keys.
     double units = 1;
-    double reserve_rate = 0;    ///< Of its plan, units a second.
-    double priority_weight = 1; ///< Of one unit.
-    bool limited = false;       ///< Its plan has a limit.
-    Micros deadline = 0;        ///< When its client gives up.
-    int hops = 0;               ///< Times it was forwarded.
+    double reserve_rate = 0;    ///< Reserve of the request's plan, in units a second.
+    double priority_weight = 1; ///< Per unit.
+    bool limited = false;       ///< Whether the request's plan has a limit.
+    Micros deadline = 0;        ///< When the client stops waiting.
+    int hops = 0;               ///< How often the request has been forwarded.
 };
 
 struct RoutingDecision {
-    enum class Kind { Serve, Forward, Wait, Refuse };
-    Kind kind = Kind::Refuse;
-    std::string broker;      ///< Forward.
-    int serving_brokers = 1; ///< Serve: brokers that the volume uses.
+    enum class Kind { Serve, Forward, Wait, Reject };
+    Kind kind = Kind::Reject;
+    std::string broker;      ///< Forward: the broker to send the request to.
+    int serving_brokers = 1; ///< Serve: number of brokers that share the volume.
 };
 
-/// State machine of one broker in a cell. Not thread-safe. Times are in us of the clock that the caller uses
-/// for every call.
+/// State machine of one broker in a cell. Not thread-safe. The caller must take the times of all calls from
+/// the same clock.
 class CellMember {
 public:
     struct Timing {
-        Micros key_retention = 0;       ///< us that a key counts after the end of its request.
-        Micros attest_after = 0;        ///< us after the start from which all keys that count are known.
-        Micros query_after = 1'000'000; ///< us of silence after which a fenced source asks the arbiter.
-        Micros heartbeat_interval = 1'000'000; ///< us.
+        Micros key_retention = 0; ///< How long a key is kept after its request has ended.
+        /// Time after the start at which all keys used before the start have expired, so that the broker
+        /// knows every key that is still valid.
+        Micros keys_known_after = 0;
+        /// A fenced source asks the arbiter after it has received no message for this time.
+        Micros query_after = 1'000'000;
+        Micros heartbeat_interval = 1'000'000;
     };
     static constexpr int kMaxHops = 3;
-    static constexpr std::size_t kMaxReportedVolumes = 2048; ///< In one heartbeat.
+    static constexpr std::size_t kMaxReportedVolumes = 2048; ///< Per heartbeat.
 
     /// `quotas` must outlive the member.
     CellMember(std::string name, QuotaStore &quotas, Timing timing, Micros now);
 
-    /// Decides where a request goes. A caller that serves it reports its start and its end.
+    /// Decides where a request is routed. A caller that serves the request must report its start and its end.
     RoutingDecision route(Micros now, const RoutingRequest &request) const;
     void on_request_started(Micros now, const RoutingRequest &request);
     void on_request_finished(Micros now, const RoutingRequest &request, bool served, MemberActions &actions);
 
     void on_message(Micros now, const std::string &sender, const Message &message, MemberActions &actions);
-    /// Sends heartbeats and queries that are due and forgets what has expired; to be called several times a
-    /// second.
+    /// Sends heartbeats and outcome queries that are due and removes expired keys and idle volumes. Must be
+    /// called several times a second.
     void tick(Micros now, MemberActions &actions);
-    /// Sets how many nodes of the cell take requests.
+    /// Sets how many nodes of the cell accept requests.
     void set_ready_nodes(std::uint32_t count) { ready_nodes_ = count; }
 
     const std::string &name() const { return name_; }
@@ -94,7 +98,7 @@
     Counts counts() const;
 
     MemberState state() const { return {map_, highest_epoch_, records_, active_migrations_}; }
-    /// To be called before anything else.
+    /// Continues from the state of an earlier run. Must be called before any other function.
     void restore(MemberState state);
 
 private:
@@ -111,11 +115,12 @@
         double priority_weight = 0;
         double units_since_heartbeat = 0;
         double rate = 0;
-        double retained_units = 0; ///< Of the limit, for repeats of keys after the volume has left.
+        /// Units of the limit kept for repeats of keys after the volume has migrated.
+        double retained_units = 0;
         Micros last_used = 0;
         std::unordered_map<std::uint64_t, KeyState> keys;
     };
-    /// A key whose repeats another broker serves.
+    /// An idempotency key whose repeats must be forwarded to another broker.
     struct RemoteKey {
         std::string broker;
         Micros expires_at = 0;
@@ -168,14 +173,16 @@
     Micros started_at_;
     Micros last_heartbeat_ = 0;
     std::optional<CellMap> map_;
-    bool map_attested_ = false; ///< The map came from the coordinator, or from our own disk.
+    /// Whether the map came from the coordinator or from this broker's own disk, rather than from another
+    /// broker.
+    bool map_confirmed_ = false;
     std::uint64_t highest_epoch_ = 0;
     std::uint32_t ready_nodes_ = 0;
     std::set<std::uint64_t> active_migrations_;
     std::map<VolumeId, MigrationRecord> records_;
     std::unordered_map<std::uint64_t, VolumeActivity> volumes_;
     std::map<VolumeId, std::unordered_map<std::uint64_t, RemoteKey>> remote_keys_;
-    mutable std::size_t next_broker_ = 0; ///< Round robin over the brokers to forward to.
+    mutable std::size_t next_broker_ = 0; ///< Round-robin index into the brokers to forward to.
 };
 
 } // namespace marblewood::cells
--- a/src/cells/coordinator_membership.cpp
+++ b/src/cells/coordinator_membership.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// CellCoordinator: heartbeats, quorum, and what is known of brokers and volumes.
+/// CellCoordinator: heartbeats, quorum, and the status of brokers and volumes.
 #include "cells/cell_coordinator.hpp"
 #include "cells/coordinator_text.hpp"
 
@@ -8,7 +8,8 @@
 namespace marblewood::cells {
 namespace {
 
-constexpr Micros kBrokerTimeout = 5'000'000; // us without a heartbeat until a broker counts as silent
+/// A broker that has sent no heartbeat for this time does not count as reporting.
+constexpr Micros kHeartbeatTimeout = 5'000'000;
 
 } // namespace
 
@@ -17,7 +18,7 @@
     epoch_counter_ = std::max({epoch_counter_, heartbeat.highest_epoch, heartbeat.map_epoch.number});
     newest_reported_epoch_ = std::max(newest_reported_epoch_, heartbeat.map_epoch.number);
     BrokerStatus &status = brokers_[sender];
-    status.heard_at = now;
+    status.received_at = now;
     status.ready_nodes = heartbeat.ready_nodes;
     status.map_epoch = heartbeat.map_epoch;
     status.volumes.clear();
@@ -26,14 +27,14 @@
         update_known_volume(now, load);
     }
     check_quorum(actions);
-    // A broker with a newer map answers the snapshot with it.
+    // A broker that holds a newer map replies to the snapshot with StaleMap, which contains that map.
     if (heartbeat.map_epoch == map_.epoch)
         return;
     send_snapshot(sender, actions);
     status.map_epoch = map_.epoch;
 }
 
-/// A volume's rate is the sum over the brokers that serve it.
+/// Updates a volume from a broker's report. Its rate is the sum over all brokers that report it.
 void CellCoordinator::update_known_volume(Micros now, const VolumeLoad &load) {
     KnownVolume &volume = known_volumes_[load.volume];
     volume.reported_at = now;
@@ -50,11 +51,11 @@
     if (stale.map_epoch.number > map_.epoch.number) {
         adopt_map(stale.held_map);
         for (const auto &[volume, cell] : map_.pins)
-            operator_pins_.insert(volume); // who set them is not known: treated as set by hand
+            operator_pins_.insert(volume); // the map does not say who set a pin: assumes operators
         actions.emplace_back(
             LogEntry{fmt::format("coordinator_map_adopted epoch={}", stale.map_epoch.number)});
     } else if (stale.map_epoch.number < map_.epoch.number || stale.map_epoch == map_.epoch) {
-        return; // it has our map by now, or a snapshot is on its way
+        return; // the broker has this map by now, or a newer snapshot has been sent to it
     }
     if (has_quorum_)
         publish_map(actions);
@@ -62,23 +63,24 @@
         check_quorum(actions);
 }
 
-/// No epoch is handed out before a majority of the brokers has reported the highest it has seen: whatever an
-/// earlier run handed out and this one has forgotten, one of them has seen.
+/// Assigns no epoch until a majority of the brokers has reported the highest epoch that each has seen. An
+/// earlier run may have assigned epochs that this one has lost, and at least one of those brokers has seen
+/// them.
 void CellCoordinator::check_quorum(CoordinatorActions &actions) {
     std::size_t total = 0;
-    std::size_t heard = 0;
+    std::size_t reporting = 0;
     for (const Cell &cell : map_.cells) {
         total += cell.brokers.size();
-        heard += static_cast<std::size_t>(
+        reporting += static_cast<std::size_t>(
             std::count_if(cell.brokers.begin(), cell.brokers.end(),
                           [&](const Broker &broker) { return brokers_.contains(broker.name); }));
     }
-    const bool majority = heard * 2 > total;
+    const bool majority = reporting * 2 > total;
     if (has_quorum_ || !majority || map_.epoch.number < newest_reported_epoch_)
         return;
     has_quorum_ = true;
     actions.emplace_back(LogEntry{fmt::format("coordinator_quorum_reached heard={} brokers={} epoch={}",
-                                              heard, total, epoch_counter_)});
+                                              reporting, total, epoch_counter_)});
     publish_map(actions);
 }
 
@@ -88,9 +90,9 @@
         CellStatus &status = all[cell.name];
         for (const Broker &broker : cell.brokers) {
             const auto reported = brokers_.find(broker.name);
-            if (reported == brokers_.end() || now - reported->second.heard_at >= kBrokerTimeout)
+            if (reported == brokers_.end() || now - reported->second.received_at >= kHeartbeatTimeout)
                 continue;
-            ++status.brokers_heard;
+            ++status.reporting_brokers;
             status.ready_nodes = std::max(status.ready_nodes, reported->second.ready_nodes);
         }
     }
--- a/src/cells/coordinator_migrations.cpp
+++ b/src/cells/coordinator_migrations.cpp
@@ -8,7 +8,7 @@
 namespace marblewood::cells {
 namespace {
 
-constexpr Micros kRetryDelay = 2'000'000; // us after an abort, before a rule migrates the volume again
+constexpr Micros kRetryDelay = 2'000'000; // time from an abort until a rule may migrate the volume again
 
 bool contains(const std::vector<std::string> &names, const std::string &name) {
     return std::find(names.begin(), names.end(), name) != names.end();
@@ -42,7 +42,7 @@
     return StepKind::Abort;
 }
 
-/// Brokers that the step of this stage goes to.
+/// Brokers that receive the step of the current stage.
 std::vector<std::string> step_recipients(const Migration &migration) {
     switch (migration.stage) {
     case MigrationStage::Preparing:
@@ -63,7 +63,8 @@
     return all;
 }
 
-/// Whether all brokers have answered without which the migration cannot go on.
+/// Whether all brokers whose acknowledgement the current stage requires have sent it. An abort before Open
+/// was sent requires only the sources, because no target can have opened.
 bool stage_complete(const Migration &migration) {
     const bool never_opened = migration.stage == MigrationStage::Aborting && !migration.open_sent;
     const std::vector<std::string> required = never_opened ? migration.sources : step_recipients(migration);
@@ -71,7 +72,7 @@
                        [&](const std::string &broker) { return migration.acknowledged.contains(broker); });
 }
 
-/// Each target's part of what the sources gave up.
+/// Each target's share of the quota that the sources gave up. Every target gets all keys.
 TransferredQuota quota_per_target(const Migration &migration) {
     const double targets = static_cast<double>(migration.targets.size());
     TransferredQuota part;
@@ -83,7 +84,7 @@
     return part;
 }
 
-/// Why a reply makes the migration impossible; nothing if it does not.
+/// The reason why a reply forces the migration to abort; nothing if it does not.
 std::optional<std::string> abort_reason(const Migration &migration, const std::string &sender,
                                         const StepReply &reply) {
     const bool source = contains(migration.sources, sender);
@@ -124,8 +125,8 @@
     case MigrationStage::Adopting:
         return target && status == StepStatus::Adopted;
     case MigrationStage::Deciding:
-        return false;             // the arbiter's reply commits
-    case MigrationStage::Opening: // a target that has restarted has the map
+        return false;             // on_reply() commits on the arbiter's reply
+    case MigrationStage::Opening: // a restarted target replies Superseded and serves by the new map
         return target && (superseded || status == StepStatus::Opened);
     case MigrationStage::Releasing:
         return source && (superseded || status == StepStatus::Released);
@@ -141,7 +142,7 @@
 
 } // namespace
 
-/// Why the volume cannot migrate now, as operators read it; nothing if it can.
+/// The reason why the volume cannot migrate now, as shown to operators; nothing if it can.
 std::optional<std::string> CellCoordinator::migration_obstacle(VolumeId volume,
                                                                const std::string &target_cell) const {
     if (!has_quorum_)
@@ -172,7 +173,7 @@
     return std::nullopt;
 }
 
-/// Starts a migration, or says why it cannot start.
+/// Starts a migration. Returns the reason if it cannot start, otherwise nothing.
 std::optional<std::string> CellCoordinator::start_migration(Micros now, VolumeId volume,
                                                             const std::string &target_cell, bool by_operator,
                                                             CoordinatorActions &actions) {
@@ -206,7 +207,7 @@
         migration.arbiter,        {}};
     if (migration.stage == MigrationStage::Adopting)
         step.quota = quota_per_target(migration);
-    // Until the arbiter has recorded that the migration never opens, no source may take the volume back.
+    // No source may resume serving the volume until the arbiter has recorded that the migration never opens.
     const bool arbiter_first = migration.stage == MigrationStage::Aborting && migration.open_sent &&
                                !migration.acknowledged.contains(migration.arbiter);
     for (const std::string &broker : step_recipients(migration)) {
@@ -246,7 +247,7 @@
     if (!migration.acknowledged.insert(sender).second)
         return;
     if (migration.stage == MigrationStage::Aborting && migration.open_sent && sender == migration.arbiter)
-        send_step(now, reply.volume, migration, actions); // now the sources may take the volume back
+        send_step(now, reply.volume, migration, actions); // the sources may now resume serving the volume
     advance(now, reply.volume, migration, actions);
 }
 
@@ -271,7 +272,7 @@
         actions.emplace_back(SaveState{});
         return enter_stage(now, volume, migration, MigrationStage::Deciding, actions);
     case MigrationStage::Deciding:
-        return; // on_reply() commits when the arbiter has opened
+        return; // on_reply() commits when the arbiter replies Opened
     case MigrationStage::Opening:
         return enter_stage(now, volume, migration, MigrationStage::Releasing, actions);
     case MigrationStage::Releasing:
@@ -280,7 +281,7 @@
     }
 }
 
-/// The arbiter has opened: the map says so from now on.
+/// Publishes a map with the volume in the target cell, after the arbiter has opened the volume there.
 void CellCoordinator::commit(Micros now, VolumeId volume, Migration &migration, CoordinatorActions &actions) {
     const Cell *const hashed = map_.hashed_cell(volume);
     const bool pin_needed = migration.by_operator || !hashed || hashed->name != migration.target_cell;
@@ -324,11 +325,11 @@
     actions.emplace_back(SaveState{});
 }
 
-/// Aborts migrations whose stage takes too long, and sends the steps of the others again.
+/// Aborts migrations whose current stage has timed out, and sends unanswered steps of the others again.
 void CellCoordinator::resend_or_abort(Micros now, CoordinatorActions &actions) {
     for (auto &[volume, migration] : migrations_) {
         if (migration.stage_since == 0)
-            migration.stage_since = now; // restored from an earlier run
+            migration.stage_since = now; // the migration was restored from an earlier run
         const Micros timeout =
             migration.stage == MigrationStage::Draining ? timing_.drain_timeout : timing_.step_timeout;
         const bool abortable = migration.stage <= MigrationStage::Deciding;
--- a/src/cells/coordinator_operators.cpp
+++ b/src/cells/coordinator_operators.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// CellCoordinator: what operators ask for. The texts are part of the operators' interface (docs/cells.md).
+/// CellCoordinator: operators' calls. The reply texts are part of the operators' interface (docs/cells.md).
 #include "cells/cell_coordinator.hpp"
 #include "cells/coordinator_text.hpp"
 
@@ -125,7 +125,8 @@
     return {true, "it takes volumes"};
 }
 
-/// Known volumes stay where they are until they migrate, whatever the hash says from now on.
+/// Pins the cell's known volumes, so that a change of the hash assignment does not move them before they
+/// migrate.
 void CellCoordinator::pin_known_volumes(const std::string &cell) {
     for (const auto &[volume, known] : known_volumes_) {
         const Cell *const home = map_.home_cell(volume);
@@ -140,7 +141,7 @@
             map_.pins.emplace(volume, home->name);
 }
 
-/// Drops pins that say the same as the hash, unless an operator has set them.
+/// Removes pins that agree with the hash, except those set by an operator.
 void CellCoordinator::drop_redundant_pins() {
     std::erase_if(map_.pins, [&](const auto &pin) {
         const Cell *const hashed = map_.hashed_cell(pin.first);
@@ -165,8 +166,8 @@
     layout.epoch = {};
     layout.pins.clear();
     validate(layout);
-    // A broker that does not hear of its removal would go on serving: none is removed while its cell has
-    // volumes.
+    // A broker that misses the message about its removal would continue to serve. Therefore no broker is
+    // removed while its cell has volumes.
     for (const Cell &cell : map_.cells) {
         const Cell *const after = layout.cell(cell.name);
         const bool same_brokers =
--- a/src/cells/coordinator_rebalancing.cpp
+++ b/src/cells/coordinator_rebalancing.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// CellCoordinator: migrations that rules start, without an operator.
+/// CellCoordinator: migrations started by rules instead of operators.
 #include "cells/cell_coordinator.hpp"
 
 #include <algorithm>
@@ -14,20 +14,21 @@
     relieve_overcommitted_cells(now, actions);
 }
 
-/// Evacuates a cell that had ready nodes and has none now, as all its brokers that were heard lately report.
+/// Evacuates cells that have had ready nodes since the start and now have none, according to all their
+/// brokers with a recent heartbeat.
 void CellCoordinator::evacuate_drained_cells(Micros now, CoordinatorActions &actions) {
     for (const auto &[name, status] : cell_status(now)) {
         if (status.ready_nodes > 0)
-            once_ready_.insert(name);
+            cells_once_ready_.insert(name);
         const bool drained =
-            once_ready_.contains(name) && status.brokers_heard > 0 && status.ready_nodes == 0;
+            cells_once_ready_.contains(name) && status.reporting_brokers > 0 && status.ready_nodes == 0;
         const Cell &cell = *map_.cell(name);
         if (!drained || !timing_.evacuate_drained || cell.evacuated || cell.frozen) {
             drained_since_.erase(name);
             continue;
         }
         const Micros since = drained_since_.try_emplace(name, now).first->second;
-        if (now - since < timing_.drained_for)
+        if (now - since < timing_.min_drained_time)
             continue;
         drained_since_[name] = now;
         if (evacuate(name, actions).ok)
@@ -40,7 +41,7 @@
     return !migrations_.contains(volume) && !retry_after_.contains(volume) && known_volumes_.contains(volume);
 }
 
-/// Migrates what evacuated cells still have, as far as other cells have the capacity.
+/// Migrates the remaining volumes of evacuated cells, as far as other cells have the capacity.
 void CellCoordinator::migrate_from_evacuated_cells(Micros now, CoordinatorActions &actions) {
     for (const Cell &cell : map_.cells) {
         if (!cell.evacuated || !may_start_by_rule())
@@ -54,21 +55,21 @@
     }
 }
 
-/// Migrates volumes that a rule has put elsewhere back to the cell that the hash chooses.
+/// Migrates volumes that a rule has moved elsewhere back to the cell that the hash chooses.
 void CellCoordinator::migrate_home(Micros now, CoordinatorActions &actions) {
-    std::vector<PlannedMigration> homeward;
+    std::vector<PlannedMigration> planned_returns;
     for (const auto &[volume, cell] : map_.pins) {
         const Cell *const hashed = map_.hashed_cell(volume);
         if (!operator_pins_.contains(volume) && hashed && hashed->name != cell && migratable(volume))
-            homeward.push_back({volume, hashed->name});
+            planned_returns.push_back({volume, hashed->name});
     }
-    for (const PlannedMigration &planned : homeward)
+    for (const PlannedMigration &planned : planned_returns)
         if (may_start_by_rule())
             start_migration(now, planned.volume, planned.target_cell, false, actions);
 }
 
-/// A cell that has reserved more than it may gives volumes to cells with capacity. They migrate home once
-/// their reserve fits again.
+/// Migrates volumes out of cells whose reserved rates exceed the allowed fraction of their capacity. The
+/// volumes migrate back once their reserve fits again.
 void CellCoordinator::relieve_overcommitted_cells(Micros now, CoordinatorActions &actions) {
     ReservedRates reserved = reserved_rates();
     for (const Cell &cell : map_.cells)
@@ -90,7 +91,8 @@
         return a.reserve_rate != b.reserve_rate ? a.reserve_rate < b.reserve_rate : a.volume < b.volume;
     });
     while (excess > 0 && !candidates.empty() && may_start_by_rule()) {
-        // As few as possible: the smallest volume that suffices alone, otherwise the largest.
+        // Migrates as few volumes as possible: the smallest that removes the excess alone, otherwise the
+        // largest.
         auto chosen = std::find_if(candidates.begin(), candidates.end(),
                                    [&](const VolumeDemand &demand) { return demand.reserve_rate >= excess; });
         if (chosen == candidates.end())
@@ -105,7 +107,7 @@
     }
 }
 
-/// Migrating volumes count where they are going to.
+/// The reserved rate of each cell. A migrating volume counts for its target cell.
 ReservedRates CellCoordinator::reserved_rates() const {
     ReservedRates all;
     for (const auto &[volume, known] : known_volumes_) {
--- a/src/cells/coordinator_state.hpp
+++ b/src/cells/coordinator_state.hpp
@@ -1,45 +1,47 @@
 /// \file
-/// The part of the cell coordinator's state that must outlive its process.
+/// The cell coordinator's persistent state.
 #pragma once
 
 #include "cells/messages.hpp"
 
 namespace marblewood::cells {
 
-/// How far a migration has come. Numbers are part of the state file's format. Up to Deciding a migration may
-/// still be aborted.
+/// The current stage of a migration. The numeric values are part of the state file's format. A migration can
+/// be aborted up to and including Deciding.
 enum class MigrationStage : std::uint8_t {
-    Preparing, ///< Targets are asked whether they accept the volume.
-    Fencing,   ///< Sources stop taking new requests.
-    Draining,  ///< Sources finish what is open.
-    Adopting,  ///< Targets take over the quota.
-    Deciding,  ///< The arbiter is asked to open, which decides the migration.
-    Opening,   ///< The other targets open.
-    Releasing, ///< Sources forget the volume.
-    Aborting   ///< Sources take the volume back.
+    Preparing, ///< Targets check whether they can accept the volume.
+    Fencing,   ///< Sources stop accepting new requests for the volume.
+    Draining,  ///< Sources finish open requests.
+    Adopting,  ///< Targets record the transferred quota.
+    Deciding,  ///< The arbiter opens the volume, which commits the migration.
+    Opening,   ///< The other targets open the volume.
+    Releasing, ///< Sources release the volume.
+    Aborting   ///< Sources resume serving the volume.
 };
 
 struct Migration {
     Epoch epoch;
     std::string source_cell;
     std::string target_cell;
-    std::string arbiter;      ///< Target broker whose record decides whether the migration happened.
-    bool by_operator = false; ///< Otherwise by an evacuation or another rule.
+    std::string arbiter;      ///< Target broker whose record decides whether the migration took effect.
+    bool by_operator = false; ///< Whether an operator started it, rather than a rule.
     MigrationStage stage = MigrationStage::Preparing;
     Micros stage_since = 0;
-    Micros last_sent = 0; ///< When the step was sent last.
+    Micros last_sent = 0; ///< When the current step was last sent.
     std::vector<std::string> sources;
     std::vector<std::string> targets;
-    std::set<std::string> acknowledged; ///< Brokers that have answered this stage.
+    std::set<std::string> acknowledged; ///< Brokers that have acknowledged the current stage.
     std::map<std::string, TransferredQuota> quota_by_source;
-    bool open_sent = false;   ///< The arbiter's record decides, and must be heard before an abort.
-    std::string abort_reason; ///< Aborting.
+    /// Whether Open was sent to the arbiter. If so, the sources may resume after an abort only when the
+    /// arbiter has confirmed that it has not opened the volume.
+    bool open_sent = false;
+    std::string abort_reason; ///< Set in stage Aborting.
 };
 
 struct CoordinatorState {
     CellMap map;
     std::uint64_t epoch_counter = 0;
-    std::set<VolumeId> operator_pins; ///< Pins set by hand.
+    std::set<VolumeId> operator_pins; ///< Volumes whose pins an operator has set.
     std::map<VolumeId, Migration> migrations;
 };
 
--- a/src/cells/coordinator_text.hpp
+++ b/src/cells/coordinator_text.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Texts that several parts of the coordinator share.
+/// Texts for operators that several parts of the coordinator share.
 #pragma once
 
 #include "cells/coordinator_state.hpp"
@@ -11,12 +11,12 @@
 inline constexpr const char *kNoQuorum =
     "not yet: a majority of the brokers has not been heard since the start";
 
-/// 16 hexadecimal digits, as operators write a volume.
+/// Formats a volume as 16 hexadecimal digits, the form that operators use.
 inline std::string format_volume(VolumeId volume) {
     return fmt::format("{:016x}", static_cast<std::uint64_t>(volume));
 }
 
-/// The stage as operators read it.
+/// The name of the stage as shown to operators.
 inline const char *stage_name(MigrationStage stage) {
     switch (stage) {
     case MigrationStage::Preparing:
--- a/src/cells/member_migrations.cpp
+++ b/src/cells/member_migrations.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// CellMember: maps that it receives, and its side of migrations.
+/// CellMember: processing of received maps, and the member's side of migrations.
 #include "cells/cell_member.hpp"
 
 namespace marblewood::cells {
@@ -9,7 +9,8 @@
     return static_cast<std::uint64_t>(volume);
 }
 
-bool holds_volume_back(MemberStage stage) {
+/// Whether the broker is a fenced source, which serves no new requests of the volume.
+bool blocks_requests(MemberStage stage) {
     return stage == MemberStage::Fenced || stage == MemberStage::Drained;
 }
 
@@ -26,7 +27,7 @@
     if (map_ && delta.epoch == map_->epoch)
         return;
     if (!map_ || !(delta.base == map_->epoch))
-        return send_heartbeat(now, actions); // the coordinator answers with a snapshot
+        return send_heartbeat(now, actions); // the coordinator replies with a snapshot
     MapSnapshot snapshot{*map_, delta.migrations};
     snapshot.map.epoch = delta.epoch;
     for (const PinChange &change : delta.pins) {
@@ -58,7 +59,8 @@
     actions.emplace_back(MapChanged{});
 }
 
-/// A source that has no record of a migration under way has restarted: it must not serve the volume.
+/// Fences the volume if this broker is a source of an active migration that it has no record of. The broker
+/// has then lost its state in a restart and must not serve the volume.
 void CellMember::fence_restarted_source(Micros now, const ActiveMigration &migration) {
     const Cell *const own = cell();
     const bool is_source =
@@ -80,20 +82,20 @@
     records_[migration.volume] = std::move(fresh);
 }
 
-/// Drops records that the map replaces. A fenced source keeps its record until it hears the outcome.
+/// Removes records that the map makes obsolete. A fenced source keeps its record until it learns the outcome.
 void CellMember::forget_finished_records() {
     std::erase_if(records_, [&](const auto &entry) {
         const MigrationRecord &record = entry.second;
         const bool older_than_map = record.migration.number < map_->epoch.number;
         const bool active = active_migrations_.contains(record.migration.number);
-        return older_than_map && !active && !holds_volume_back(record.stage) && !overrides_map(record);
+        return older_than_map && !active && !blocks_requests(record.stage) && !overrides_map(record);
     });
 }
 
 bool CellMember::superseded(const MigrationStep &step) const {
     if (const MigrationRecord *const known = record(step.volume))
         return !(known->migration == step.migration) && known->migration.number >= step.migration.number;
-    // Without a record: a migration that had ended when the map was published.
+    // Without a record, the step is superseded if its migration had ended when the map was published.
     return map_ && step.migration.number < map_->epoch.number &&
            !active_migrations_.contains(step.migration.number);
 }
@@ -163,7 +165,7 @@
         return reply(step, StepStatus::Drained, actions, record->quota);
     if (record->stage != MemberStage::Fenced)
         return reply(step, StepStatus::Superseded, actions);
-    try_drain(now, step.volume, actions); // replies by itself if nothing is open
+    try_drain(now, step.volume, actions); // sends the reply itself if no request is open
     if (record->stage == MemberStage::Fenced)
         reply(step, StepStatus::Fenced, actions);
 }
@@ -204,7 +206,7 @@
 
 void CellMember::on_release(const MigrationStep &step, MemberActions &actions) {
     MigrationRecord *const record = current_record(step);
-    if (record && holds_volume_back(record->stage))
+    if (record && blocks_requests(record->stage))
         release_volume(step.volume, *record, actions);
     reply(step, StepStatus::Released, actions);
 }
@@ -212,20 +214,21 @@
 void CellMember::on_abort(Micros now, const MigrationStep &step, MemberActions &actions) {
     MigrationRecord *const record = current_record(step);
     if (!record) {
-        // Recorded so that earlier steps of this migration which arrive late change nothing.
+        // The record makes late steps of this migration ineffective.
         begin_record(now, step, MemberStage::Ended, actions);
         return reply(step, StepStatus::Aborted, actions);
     }
     if (record->stage == MemberStage::Opened)
         return reply(step, StepStatus::Opened, actions); // the arbiter's decision is final
-    if (holds_volume_back(record->stage))
+    if (blocks_requests(record->stage))
         resume_volume(step.volume, *record, actions);
     else if (record->stage != MemberStage::Ended)
         end_record(*record, actions);
     reply(step, StepStatus::Aborted, actions);
 }
 
-/// Keys whose window is open: those sent from here, and those that came with an earlier migration.
+/// Idempotency keys that have not expired: those used at this broker, and those that an earlier migration
+/// transferred to it.
 std::vector<TransferredKey> CellMember::transferable_keys(Micros now, VolumeId volume) const {
     std::vector<TransferredKey> keys;
     if (const auto activity = volumes_.find(number(volume)); activity != volumes_.end())
@@ -239,17 +242,18 @@
     return keys;
 }
 
-/// Gives up the quota once no request of the volume is open here and all keys that count are known.
+/// Gives up the quota and replies Drained, provided that no request of the volume is open here and all keys
+/// that are still valid are known.
 void CellMember::try_drain(Micros now, VolumeId volume, MemberActions &actions) {
     MigrationRecord &record = records_.at(volume);
     VolumeActivity &activity = volumes_[number(volume)];
-    const bool keys_known = now >= started_at_ + timing_.attest_after;
+    const bool keys_known = now >= started_at_ + timing_.keys_known_after;
     if (record.stage != MemberStage::Fenced || activity.open_requests > 0 || !keys_known)
         return;
     record.quota = quotas_.take(volume);
     const std::vector<TransferredKey> keys = transferable_keys(now, volume);
     record.quota.keys.insert(record.quota.keys.end(), keys.begin(), keys.end());
-    // Repeats of writes that have not ended well come back here: their units stay.
+    // Repeats of keyed requests that were not served return to this broker, so it retains their units.
     activity.retained_units = 0;
     for (const auto &[hash, key] : activity.keys)
         if (key.expires_at > now && key.limited && !key.served)
@@ -268,7 +272,7 @@
     actions.emplace_back(SaveState{});
 }
 
-/// Source: the migration is aborted, so the volume is served here again.
+/// Source: resumes serving the volume after the migration was aborted.
 void CellMember::resume_volume(VolumeId volume, MigrationRecord &record, MemberActions &actions) {
     if (record.stage == MemberStage::Drained) {
         VolumeActivity &activity = volumes_[number(volume)];
@@ -279,7 +283,7 @@
     actions.emplace_back(RerouteWaiting{volume});
 }
 
-/// Source: the volume lives in the target cell from now on.
+/// Source: releases the volume, whose home is the target cell from now on.
 void CellMember::release_volume(VolumeId volume, MigrationRecord &record, MemberActions &actions) {
     record.stage = MemberStage::Released;
     record.home_cell = record.target_cell;
@@ -290,10 +294,11 @@
     actions.emplace_back(RerouteWaiting{volume});
 }
 
-/// A fenced source that hears nothing asks the arbiter: the coordinator may be down.
+/// Asks the arbiters for the outcome of migrations for which a fenced source has received no message for a
+/// while, since the coordinator may be down.
 void CellMember::query_arbiters(Micros now, MemberActions &actions) {
     for (auto &[volume, record] : records_) {
-        if (!holds_volume_back(record.stage))
+        if (!blocks_requests(record.stage))
             continue;
         if (record.stage == MemberStage::Fenced)
             try_drain(now, volume, actions);
@@ -307,11 +312,11 @@
     }
 }
 
-/// The arbiter's decision is durable before it is sent. An arbiter that may have forgotten a decision (it
-/// restarted without its file) is silent until the coordinator has sent it the map.
+/// The arbiter's decision is durable before it is sent. An arbiter that restarted without its state file may
+/// have lost a decision. It does not reply until the coordinator has sent it a map.
 void CellMember::on_outcome_query(const OutcomeQuery &query, const std::string &sender,
                                   MemberActions &actions) {
-    if (!map_attested_ || !map_)
+    if (!map_confirmed_ || !map_)
         return;
     observe_epoch(query.migration);
     const MigrationRecord *const known = record(query.volume);
@@ -321,7 +326,7 @@
     actions.emplace_back(OutgoingMessage{sender, OutcomeReply{query.volume, query.migration, opened}});
 }
 
-/// Whether the migration has opened. If not, records that it never will.
+/// Returns whether the migration has opened. If it has not, records that it never will.
 bool CellMember::decide_outcome(const OutcomeQuery &query, MemberActions &actions) {
     const auto found = records_.find(query.volume);
     if (found != records_.end() && found->second.migration == query.migration) {
@@ -345,7 +350,7 @@
 void CellMember::on_outcome_reply(Micros now, const OutcomeReply &reply, MemberActions &actions) {
     const auto found = records_.find(reply.volume);
     const bool awaited = found != records_.end() && found->second.migration == reply.migration &&
-                         holds_volume_back(found->second.stage);
+                         blocks_requests(found->second.stage);
     if (!awaited)
         return;
     found->second.last_progress = now;
--- a/src/cells/member_state.hpp
+++ b/src/cells/member_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The part of a cell member's state that must outlive its process.
+/// A cell member's persistent state.
 #pragma once
 
 #include "cells/messages.hpp"
@@ -8,36 +8,39 @@
 
 namespace marblewood::cells {
 
-/// How far a broker has come in a migration. Numbers are part of the state file's format.
+/// A broker's stage in a migration. The numeric values are part of the state file's format.
 enum class MemberStage : std::uint8_t {
     Ready,    ///< Target: has accepted the volume.
-    Adopted,  ///< Target: holds its part of the quota.
+    Adopted,  ///< Target: has recorded its share of the quota.
     Opened,   ///< Target: serves the volume.
-    Fenced,   ///< Source: takes nothing new.
-    Drained,  ///< Source: nothing is open, the quota is given up.
-    Released, ///< Source: the volume has left.
-    Ended     ///< Aborted, or the arbiter said that it never opens.
+    Fenced,   ///< Source: accepts no new requests for the volume.
+    Drained,  ///< Source: no request is open, and the quota has been given up.
+    Released, ///< Source: the volume has migrated to the target cell.
+    Ended     ///< The migration was aborted or, at the arbiter, is recorded as never opening.
 };
 
-/// A broker's record of the newest migration of a volume that it has acted on.
+/// A broker's record of the newest migration of a volume that it took part in.
 struct MigrationRecord {
     Epoch migration;
     MemberStage stage = MemberStage::Ended;
     std::string source_cell;
     std::string target_cell;
     std::string arbiter;
-    TransferredQuota quota;   ///< Drained: what was given up; Adopted: what is to be taken over.
-    Micros last_progress = 0; ///< Fenced or Drained: when the coordinator or the arbiter was last heard.
-    /// Where the volume lives by a migration that ended here; valid as long as the map is older than that.
+    TransferredQuota quota; ///< Drained: the quota given up. Adopted: the quota to be taken over.
+    /// Fenced or Drained: time of the last Fence step, outcome query or outcome reply.
+    Micros last_progress = 0;
+    /// The volume's cell after the last migration that took effect at this broker. Overrides the map as long
+    /// as the map does not include that migration.
     std::string home_cell = {};
     std::uint64_t home_epoch = 0;
 };
 
 struct MemberState {
     std::optional<CellMap> map;
-    std::uint64_t highest_epoch = 0; ///< Number seen, of maps and migrations.
+    std::uint64_t highest_epoch = 0; ///< Highest epoch number seen in maps and migrations.
     std::map<VolumeId, MigrationRecord> records;
-    std::set<std::uint64_t> active_migrations; ///< Under way when the map was published.
+    /// Epoch numbers of the migrations that were active when the map was published.
+    std::set<std::uint64_t> active_migrations;
 };
 
 } // namespace marblewood::cells
--- a/src/cells/placement.cpp
+++ b/src/cells/placement.cpp
@@ -5,8 +5,8 @@
 namespace marblewood::cells {
 namespace {
 
-/// Priority weight served a second for each unit of capacity taken. A volume without a reserve competes with
-/// no reserve for capacity and comes last.
+/// Priority weight served a second per unit of reserved capacity. Volumes without a reserve take no reserved
+/// capacity and come last.
 double weight_per_capacity(const VolumeDemand &volume) {
     if (volume.reserve_rate <= 0)
         return -1;
@@ -46,7 +46,8 @@
     std::sort(volumes.begin(), volumes.end(), evacuates_before);
     EvacuationPlan plan;
     for (const VolumeDemand &demand : volumes) {
-        // Without a reserve its usual rate must fit, or it would live off the others' spare capacity.
+        // A volume without a reserve needs room for its usual rate; otherwise it would use up the spare
+        // capacity of the other volumes.
         const double needed = demand.reserve_rate > 0 ? demand.reserve_rate : demand.rate;
         if (const auto target = choose_cell(map, demand.volume, needed, reserved, {cell})) {
             plan.migrations.push_back({demand.volume, *target});
--- a/src/net/cells/cell_router.cpp
+++ b/src/net/cells/cell_router.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-constexpr Micros kTickInterval = 100'000;               // us
-constexpr Micros kOperatorCallTimeout = 1'500'000;      // us for the coordinator's reply
-constexpr Micros kBrokerConnectionIdleTime = 2'000'000; // us after which brokers close idle connections
+constexpr Micros kTickInterval = 100'000;
+constexpr Micros kOperatorCallTimeout = 1'500'000; // for the coordinator's reply
+/// Idle connections between brokers are closed after this time.
+constexpr Micros kBrokerConnectionIdleTimeout = 2'000'000;
 
 Settings settings_between_brokers(Settings settings) {
-    settings.idle_close = kBrokerConnectionIdleTime;
+    settings.idle_close = kBrokerConnectionIdleTimeout;
     return settings;
 }
 
@@ -24,7 +25,7 @@
         if (cls.idempotency != Idempotency::WithKey)
             continue;
         timing.key_retention = std::max(timing.key_retention, cls.deduplication_window);
-        timing.attest_after = std::max(timing.attest_after, cls.deduplication_window + cls.deadline);
+        timing.keys_known_after = std::max(timing.keys_known_after, cls.deduplication_window + cls.deadline);
     }
     return timing;
 }
@@ -122,16 +123,16 @@
     }
 }
 
-/// The port to other brokers knows them by number.
+/// Returns the node id by which broker_port_ identifies a broker. Assigns one to a broker that has none.
 NodeId CellRouter::node_id_of(const std::string &broker) {
     const NodeId next{static_cast<std::uint32_t>(node_ids_.size() + 1)};
     return node_ids_.try_emplace(broker, next).first->second;
 }
 
 core::RequestDispatcher &CellRouter::dispatcher_of(VolumeId volume) const {
-    core::Request any;
-    any.arrival.volume = volume;
-    return select_dispatcher_(any);
+    core::Request request_for_volume;
+    request_for_volume.arrival.volume = volume;
+    return select_dispatcher_(request_for_volume);
 }
 
 mc::TransferredQuota CellRouter::take(VolumeId volume) {
--- a/src/net/cells/cell_router.hpp
+++ b/src/net/cells/cell_router.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// A broker in a cell: stands between the fronts and the dispatchers. It serves each request, forwards it to
-/// the broker where its volume lives, or holds it while the volume migrates, as cells::CellMember decides. It
-/// also carries the member's messages and stores its state.
+/// Routes a broker's requests between the front ends and the dispatchers. As cells::CellMember decides, a
+/// request is served here, forwarded to a broker of the volume's cell, held while the volume migrates, or
+/// rejected. The router also transports the member's messages and stores its state.
 #pragma once
 
 #include "cells/cell_member.hpp"
@@ -18,53 +18,55 @@
     /// Returns the dispatcher that serves a request in this process.
     using DispatcherSelector = std::function<core::RequestDispatcher &(const core::Request &)>;
 
-    /// \param name this broker's, as the layout names it.
-    /// \param listener where the coordinator and other brokers connect.
+    /// \param name this broker's name in the layout.
+    /// \param listener accepts connections from the coordinator and other brokers.
     /// \throws std::runtime_error if the state on disk cannot be read.
     CellRouter(asio::io_context &io, core::Deadlines &deadlines, core::MemoryBudget &memory,
                SocketBudget &budget, const Settings &settings, Layout layout, const std::string &name,
                tcp::acceptor listener, std::uint64_t seed, DispatcherSelector select_dispatcher);
 
-    /// Called whenever the nodes of the cell may have changed.
+    /// Called whenever the set of nodes of the cell may have changed.
     std::function<void()> on_nodes_changed;
     /// Whether a node belongs to this broker's cell.
     bool owns_node(const std::string &node) const;
+    /// Sets how many nodes of the cell accept requests.
     void set_ready_nodes(std::size_t count);
-    /// Takes over the map that was on disk and begins to send heartbeats.
+    /// Applies the map loaded from disk, if any, and starts to send heartbeats.
     void start();
 
-    RequestId submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
-                     std::function<void()> over = nullptr) override;
+    RequestId submit(std::shared_ptr<const core::Request> request, CompletionCallback on_complete,
+                     std::function<void()> on_released = nullptr) override;
     void client_disconnected(RequestId id) override;
     void answer_now(RequestId id) override;
 
-    /// Passes an operator's call on to the coordinator; nothing if it does not reply in time.
+    /// Forwards an operator's call to the coordinator. Returns nothing if the coordinator does not reply in
+    /// time.
     asio::awaitable<std::optional<link::OperatorReply>> call_coordinator(std::string name, std::string body);
-    /// What this broker knows by itself, a line each.
+    /// This broker's own status, as lines of `name value`.
     std::string status() const;
-    /// Metrics, a line each, in the form of StatsD.
+    /// Metrics in StatsD format, one per line.
     std::string stats() const;
 
 private:
     using Id = std::uint64_t;
     struct PendingRequest {
         std::shared_ptr<const core::Request> request;
-        CompletionCallback answer;
+        CompletionCallback on_complete;
         marblewood::cells::RoutingRequest routing;
-        core::RequestDispatcher *dispatcher = nullptr; ///< Served here.
+        core::RequestDispatcher *dispatcher = nullptr; ///< Set if served here.
         RequestId dispatched_id{};
-        std::shared_ptr<core::Attempt> attempt; ///< Forwarded.
-        bool waiting = false;                   ///< For a migration.
+        std::shared_ptr<core::Attempt> attempt; ///< Set if forwarded.
+        bool waiting = false;                   ///< Whether the request waits for a migration.
         core::Deadlines::Entry wait_timeout;
-        std::unique_ptr<core::MemoryBudget::Reservation> body_memory; ///< Forwarded or waiting.
+        std::unique_ptr<core::MemoryBudget::Reservation> body_memory; ///< Set if forwarded or waiting.
     };
-    struct Counters { // since the start
+    struct Counters {
         std::uint64_t forwarded = 0;
         std::uint64_t waited = 0;
         std::uint64_t rejected = 0;
     };
 
-    // The member's side: cell_router.cpp.
+    // Interface to the cell member: cell_router.cpp.
     marblewood::cells::TransferredQuota take(VolumeId volume) override;
     void set(VolumeId volume, double limit_units, double reserve_units) override;
     core::RequestDispatcher &dispatcher_of(VolumeId volume) const;
@@ -105,7 +107,7 @@
     link::PeerTransport transport_;
     link::StateFile state_file_;
     link::Outbox outbox_;
-    resp::NodePort broker_port_; ///< To other brokers, as a client of them.
+    resp::NodePort broker_port_; ///< Connects to other brokers as their client.
     std::map<std::string, NodeId> node_ids_;
     std::map<std::string, int> forwarded_by_cell_;
     std::map<Id, PendingRequest> pending_;
--- a/src/net/cells/cell_router_requests.cpp
+++ b/src/net/cells/cell_router_requests.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// CellRouter: the way of a request, served here, forwarded or held.
+/// CellRouter: routing of requests, which are served here, forwarded, held or rejected.
 #include "net/cells/cell_router.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr Micros kReplyTransitTime = 10'000;      // us that a forwarded reply needs on its way back
-constexpr double kMaxWaitFraction = 0.3;          // of a request's time that it may wait for a migration
-constexpr Micros kRetryAfter = 100'000;           // us: told to clients that are rejected here
-constexpr Micros kMapRequestInterval = 1'000'000; // us between requests to one broker for a newer map
+constexpr Micros kReplyTransitTime = 10'000;  // time for the reply to a forwarded request to travel back
+constexpr double kMaxWaitFraction = 0.3;      // part of its timeout that a request may wait for a migration
+constexpr Micros kRejectRetryAfter = 100'000; // retry hint for clients that this broker rejects
+constexpr Micros kMapRequestInterval = 1'000'000; // minimum time between map requests to the same broker
 constexpr int kMaxForwardAttempts = 2;
-constexpr const char *kHopsField = "hop"; // brokers count forwards in this field of the request
+constexpr const char *kHopsField = "hop"; // request field that counts how often the request was forwarded
 
 int parse_hops(std::string_view text) {
     int hops = 0;
@@ -33,7 +33,7 @@
     std::erase_if(request.forwarded_fields, [](const auto &field) { return field.first == kHopsField; });
 }
 
-/// The deduplication scope of a key is the piece of data.
+/// Hashes the idempotency key together with the data key, because keys are deduplicated per piece of data.
 std::uint64_t idempotency_hash(const core::Request &request) {
     const std::string scoped_key = request.data_key + ' ' + request.idempotency_key;
     return XXH3_64bits(scoped_key.data(), scoped_key.size());
@@ -42,12 +42,12 @@
 } // namespace
 
 mc::RoutingRequest CellRouter::routing_request(const core::Request &request) const {
-    const RequestArrived &facts = request.arrival;
-    const ClassSettings &cls = settings_.classes[facts.cls];
-    const PlanSettings &plan = settings_.plans[facts.plan];
+    const RequestArrived &arrival = request.arrival;
+    const ClassSettings &cls = settings_.classes[arrival.cls];
+    const PlanSettings &plan = settings_.plans[arrival.plan];
     mc::RoutingRequest routing;
-    routing.volume = facts.volume;
-    routing.units = facts.units;
+    routing.volume = arrival.volume;
+    routing.units = arrival.units;
     routing.reserve_rate = plan.reserve;
     routing.priority_weight = cls.priority_weight * plan.priority_factor;
     routing.limited = plan.limit > 0;
@@ -60,13 +60,13 @@
     return routing;
 }
 
-RequestId CellRouter::submit(std::shared_ptr<const core::Request> request, CompletionCallback answer,
-                             std::function<void()> /*on_released: no caller of the router gives one*/) {
+RequestId CellRouter::submit(std::shared_ptr<const core::Request> request, CompletionCallback on_complete,
+                             std::function<void()> /*on_released: no caller of the router passes one*/) {
     const Id id = ++last_id_;
     PendingRequest pending;
     pending.routing = routing_request(*request);
     pending.request = std::move(request);
-    pending.answer = std::move(answer);
+    pending.on_complete = std::move(on_complete);
     pending_.emplace(id, std::move(pending));
     route(id);
     return RequestId{id};
@@ -81,7 +81,7 @@
         return start_forwarding(id, decision.broker);
     case mc::RoutingDecision::Kind::Wait:
         return wait_for_migration(id);
-    case mc::RoutingDecision::Kind::Refuse:
+    case mc::RoutingDecision::Kind::Reject:
         return reject(id);
     }
 }
@@ -92,7 +92,7 @@
     request->arrival.hosts = decision.serving_brokers;
     remove_hops(*request);
     pending.request = request;
-    pending.body_memory = nullptr; // the dispatcher counts it
+    pending.body_memory = nullptr; // the dispatcher reserves the memory itself
     pending.dispatcher = &select_dispatcher_(*request);
     member_.on_request_started(deadlines_.clock.now(), pending.routing);
     const auto served = std::make_shared<bool>(false);
@@ -108,16 +108,17 @@
             member_.on_request_finished(deadlines_.clock.now(), routing, *served, actions);
             perform(actions);
         });
-    if (const auto found = pending_.find(id); found != pending_.end()) // it may be over already
+    if (const auto found = pending_.find(id); found != pending_.end()) // the request may have ended already
         found->second.dispatched_id = dispatched_id;
 }
 
 void CellRouter::on_dispatched(Id id, core::Outcome outcome) {
     if (!outcome.stream)
         return finish(id, std::move(outcome));
-    // A stream's entry stays until the stream is over: its client may leave before that.
+    // The entry of a streamed reply stays until the stream ends, because its client may disconnect before
+    // that.
     if (const auto found = pending_.find(id); found != pending_.end())
-        found->second.answer(std::move(outcome));
+        found->second.on_complete(std::move(outcome));
 }
 
 void CellRouter::start_forwarding(Id id, const std::string &broker) {
@@ -180,20 +181,22 @@
 
 void CellRouter::reject(Id id) {
     ++counters_.rejected;
-    const Micros retry_after = settings_.retry_after ? std::min(kRetryAfter, settings_.max_retry_after) : 0;
+    const Micros retry_after =
+        settings_.retry_after ? std::min(kRejectRetryAfter, settings_.max_retry_after) : 0;
     finish(id, {core::Outcome::Kind::Refused, {}, retry_after, true});
 }
 
 void CellRouter::finish(Id id, core::Outcome outcome) {
     auto pending = pending_.extract(id);
     if (pending)
-        pending.mapped().answer(std::move(outcome));
+        pending.mapped().on_complete(std::move(outcome));
     else if (outcome.stream)
         outcome.stream->abandon();
 }
 
-/// Sends a request to another broker, as a client of it. Nothing is retried that may have run: retries are
-/// for the broker that serves the volume. The client may leave at any time, and the entry with it.
+/// Sends a request to another broker as its client. A request that may have run is not retried here, because
+/// retries are up to the broker that serves the volume. The client may disconnect at any time, which removes
+/// the entry in pending_.
 asio::awaitable<void> CellRouter::forward(Id id, std::string broker, std::string cell,
                                           std::shared_ptr<const core::Request> received,
                                           mc::RoutingRequest routing) {
@@ -203,12 +206,12 @@
     request->forwarded_fields.emplace_back(kHopsField, std::to_string(routing.hops + 1));
     core::AttemptResult result;
     for (int attempts = 0; attempts < kMaxForwardAttempts; ++attempts) {
-        if (!pending_.contains(id)) // its client has left
+        if (!pending_.contains(id)) // the client has disconnected
             break;
         result = co_await attempt_at(id, broker, request);
         if (result.status != Status::ConnectFailed)
             break;
-        // Nothing was written: another broker of the cell may be reachable.
+        // Nothing was written, so the request can be sent to another broker of the cell.
         const mc::RoutingDecision other = member_.route(deadlines_.clock.now(), routing);
         if (other.kind != mc::RoutingDecision::Kind::Forward)
             break;
@@ -242,7 +245,7 @@
         return finish(id, {core::Outcome::Kind::Served, std::move(result.value), 0, true});
     case Status::Rejected: {
         request_newer_map(broker);
-        const Micros hint = result.retry_after > 0 ? result.retry_after : kRetryAfter;
+        const Micros hint = result.retry_after > 0 ? result.retry_after : kRejectRetryAfter;
         return finish(id, {core::Outcome::Kind::Refused, {}, settings_.retry_after ? hint : 0, true});
     }
     case Status::ConnectFailed:
@@ -256,7 +259,7 @@
     }
 }
 
-/// A broker that rejects what it was forwarded may hold a newer map.
+/// Requests the map of a broker that rejected a forwarded request, since it may hold a newer one.
 void CellRouter::request_newer_map(const std::string &broker) {
     const Micros now = deadlines_.clock.now();
     Micros &requested_at = map_requested_at_[broker];
--- a/src/net/cells/coordinator_server.cpp
+++ b/src/net/cells/coordinator_server.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Micros kTickInterval = 50'000; // us
+constexpr Micros kTickInterval = 50'000;
 constexpr std::size_t kMaxVolumeDigits = 16;
 constexpr const char *kStateFileName = "/keeper.cells";
 
@@ -31,7 +31,7 @@
 std::string describe(const mc::Cell &cell, const mc::CellCoordinator::CellStatus &status) {
     return fmt::format(
         "{} capacity {:.0f} promised {:.0f} rate {:.0f} volumes {} brokers {}/{} ready nodes {}/{}{}{}\n",
-        cell.name, cell.capacity, status.reserved_rate, status.rate, status.volumes, status.brokers_heard,
+        cell.name, cell.capacity, status.reserved_rate, status.rate, status.volumes, status.reporting_brokers,
         cell.brokers.size(), status.ready_nodes, cell.nodes.size(), cell.frozen ? " frozen" : "",
         cell.evacuated ? " evacuated" : "");
 }
@@ -67,7 +67,7 @@
     mc::CoordinatorActions actions;
     const OperatorResult result = coordinator_.relayout(layout.map, actions);
     if (result.ok)
-        set_broker_addresses(); // before the map is sent to them
+        set_broker_addresses(); // before the map is sent to the brokers
     perform(actions);
     if (result.ok)
         core::log("coordinator_layout_reloaded cells={}", coordinator_.map().cells.size());
@@ -134,7 +134,7 @@
     const Micros now = deadlines_.clock.now();
     if (name == "unpin")
         return coordinator_.unpin(now, *volume, actions);
-    if (names_cell) // a pin in a cell is a move to it
+    if (names_cell) // pinning a volume in a cell also moves it there
         return coordinator_.move(now, *volume, body.substr(space + 1), actions);
     if (name == "pin")
         return coordinator_.pin(*volume, actions);
--- a/src/net/cells/coordinator_server.hpp
+++ b/src/net/cells/coordinator_server.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The process of the cell coordinator: its state machine (cells::CellCoordinator) with a transport to the
-/// brokers, a state on disk, and operators' calls.
+/// The cell coordinator's server: connects its state machine (cells::CellCoordinator) to the transport to the
+/// brokers, the state file and the operators' calls.
 #pragma once
 
 #include "net/cells/layout.hpp"
@@ -11,17 +11,18 @@
 /// Runs on the I/O context's thread; not thread-safe.
 class CoordinatorServer {
 public:
-    /// \param listener where brokers connect.
-    /// \param seed random for each start; also the origin of the epochs handed out.
+    /// \param listener accepts connections from brokers.
+    /// \param seed a random number, new for each start; also the origin of the epochs assigned.
     /// \throws std::runtime_error if the state on disk cannot be read.
     CoordinatorServer(asio::io_context &io, core::Deadlines &deadlines, const Layout &layout,
                       tcp::acceptor listener, std::uint64_t seed);
 
-    /// Carries out an operator's call, made here or passed on by a broker. docs/cells.md lists the calls.
+    /// Carries out an operator's call, received directly or forwarded by a broker. docs/cells.md lists the
+    /// calls.
     link::OperatorReply handle_call(const std::string &name, const std::string &body);
-    /// Takes another layout; a layout that cannot be taken is logged and changes nothing.
+    /// Replaces the layout. If the coordinator refuses it, the reason is logged and nothing changes.
     void reload_layout(const Layout &layout);
-    /// Metrics, a line each, in the form of StatsD.
+    /// Metrics in StatsD format, one per line.
     std::string stats() const;
 
 private:
--- a/src/net/link/codec.hpp
+++ b/src/net/link/codec.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Encodes messages and states of the cells as bytes, by protobuf (cells.proto), and decodes them.
+/// Encodes messages and persistent states of the cells in protobuf format (cells.proto), and decodes them.
 #pragma once
 
 #include "cells/coordinator_state.hpp"
@@ -12,13 +12,13 @@
 
 namespace marblewood::net::link {
 
-/// Why bytes cannot be decoded.
+/// The reason why decoding failed.
 enum class DecodeFailure {
-    Malformed,          ///< No valid protobuf.
-    UnsupportedVersion, ///< Written by an incompatible version.
-    ChecksumMismatch,   ///< A state file that is truncated or corrupted.
-    UnknownMessage,     ///< A frame without a known body.
-    OutOfRange,         ///< An enumerator that is not known, or a negative or infinite quantity.
+    Malformed,          ///< Not valid protobuf.
+    UnsupportedVersion, ///< The format version is not kFormatVersion.
+    ChecksumMismatch,   ///< The state file is truncated or corrupted.
+    UnknownMessage,     ///< The frame has no body of a known type.
+    OutOfRange,         ///< An unknown enumerator, or a negative or non-finite quantity.
     InvalidMap          ///< A cell map that validate() rejects.
 };
 
@@ -32,15 +32,16 @@
     DecodeFailure failure_;
 };
 
-/// Of frames and state files.
+/// Format version of frames and state files.
 inline constexpr std::uint32_t kFormatVersion = 1;
 
-/// An operator's call that a broker passes on to the coordinator.
+/// An operator's call that a broker forwards to the coordinator.
 struct OperatorCall {
-    std::uint64_t id = 0; ///< Chosen by the broker; the reply carries it.
+    std::uint64_t id = 0; ///< Chosen by the broker; the reply contains the same id.
     std::string name;
     std::string body;
 };
+/// The coordinator's reply to an operator's call.
 struct OperatorReply {
     std::uint64_t id = 0;
     bool ok = false;
@@ -57,7 +58,7 @@
 /// \throws DecodeError
 Frame decode_frame(std::string_view bytes);
 
-/// State files carry a hash, so that a truncated or corrupted one is detected.
+/// Encodes the content of a state file. It includes a hash, so that truncation and corruption are detected.
 std::string encode(const marblewood::cells::MemberState &state);
 std::string encode(const marblewood::cells::CoordinatorState &state);
 /// \throws DecodeError
--- a/src/net/link/frame_codec.cpp
+++ b/src/net/link/frame_codec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Frames of the link.
+/// Encoding and decoding of frames.
 #include "net/link/proto_conversion.hpp"
 
 namespace marblewood::net::link {
@@ -27,7 +27,7 @@
     return migrations;
 }
 
-void put(const MigrationStep &step, wire::Frame &frame) {
+void body_to_proto(const MigrationStep &step, wire::Frame &frame) {
     auto *const out = frame.mutable_migration_step();
     out->set_kind(static_cast<std::uint32_t>(step.kind));
     out->set_volume(number(step.volume));
@@ -38,7 +38,7 @@
     to_proto(step.quota, out->mutable_quota());
 }
 
-void put(const StepReply &reply, wire::Frame &frame) {
+void body_to_proto(const StepReply &reply, wire::Frame &frame) {
     auto *const out = frame.mutable_step_reply();
     out->set_status(static_cast<std::uint32_t>(reply.status));
     out->set_volume(number(reply.volume));
@@ -47,7 +47,7 @@
     out->set_reason(reply.reason);
 }
 
-void put(const Heartbeat &heartbeat, wire::Frame &frame) {
+void body_to_proto(const Heartbeat &heartbeat, wire::Frame &frame) {
     auto *const out = frame.mutable_heartbeat();
     to_proto(heartbeat.map_epoch, out->mutable_map_epoch());
     out->set_highest_epoch(heartbeat.highest_epoch);
@@ -62,13 +62,13 @@
     out->set_ready_nodes(heartbeat.ready_nodes);
 }
 
-void put(const MapSnapshot &snapshot, wire::Frame &frame) {
+void body_to_proto(const MapSnapshot &snapshot, wire::Frame &frame) {
     auto *const out = frame.mutable_map_snapshot();
     to_proto(snapshot.map, out->mutable_map());
     migrations_to_proto(snapshot.migrations, out);
 }
 
-void put(const MapDelta &delta, wire::Frame &frame) {
+void body_to_proto(const MapDelta &delta, wire::Frame &frame) {
     auto *const out = frame.mutable_map_delta();
     to_proto(delta.base, out->mutable_base());
     to_proto(delta.epoch, out->mutable_epoch());
@@ -84,14 +84,14 @@
     migrations_to_proto(delta.migrations, out);
 }
 
-void put(const StaleMap &stale, wire::Frame &frame) {
+void body_to_proto(const StaleMap &stale, wire::Frame &frame) {
     auto *const out = frame.mutable_stale_map();
     to_proto(stale.map_epoch, out->mutable_map_epoch());
     out->set_highest_epoch(stale.highest_epoch);
     to_proto(stale.held_map, out->mutable_held_map());
 }
 
-void put(const OutcomeQuery &query, wire::Frame &frame) {
+void body_to_proto(const OutcomeQuery &query, wire::Frame &frame) {
     auto *const out = frame.mutable_outcome_query();
     out->set_volume(number(query.volume));
     to_proto(query.migration, out->mutable_migration());
@@ -99,33 +99,33 @@
     out->set_target_cell(query.target_cell);
 }
 
-void put(const OutcomeReply &reply, wire::Frame &frame) {
+void body_to_proto(const OutcomeReply &reply, wire::Frame &frame) {
     auto *const out = frame.mutable_outcome_reply();
     out->set_volume(number(reply.volume));
     to_proto(reply.migration, out->mutable_migration());
     out->set_opened(reply.opened);
 }
 
-void put(const Message &message, wire::Frame &frame) {
-    std::visit([&](const auto &alternative) { put(alternative, frame); }, message);
+void body_to_proto(const Message &message, wire::Frame &frame) {
+    std::visit([&](const auto &alternative) { body_to_proto(alternative, frame); }, message);
 }
 
-void put(const OperatorCall &call, wire::Frame &frame) {
+void body_to_proto(const OperatorCall &call, wire::Frame &frame) {
     auto *const out = frame.mutable_operator_call();
     out->set_id(call.id);
     out->set_name(call.name);
     out->set_body(call.body);
 }
 
-void put(const OperatorReply &reply, wire::Frame &frame) {
+void body_to_proto(const OperatorReply &reply, wire::Frame &frame) {
     auto *const out = frame.mutable_operator_reply();
     out->set_id(reply.id);
     out->set_ok(reply.ok);
     out->set_text(reply.text);
 }
 
-Message get(const wire::MigrationStep &in) {
-    return MigrationStep{enum_from_proto(in.kind(), StepKind::Abort, "order"),
+Message message_from_proto(const wire::MigrationStep &in) {
+    return MigrationStep{enum_from_proto(in.kind(), StepKind::Abort, "step kind"),
                          VolumeId{in.volume()},
                          from_proto(in.migration()),
                          in.source_cell(),
@@ -134,12 +134,12 @@
                          from_proto(in.quota())};
 }
 
-Message get(const wire::StepReply &in) {
-    return StepReply{enum_from_proto(in.status(), StepStatus::Superseded, "answer"), VolumeId{in.volume()},
-                     from_proto(in.migration()), from_proto(in.quota()), in.reason()};
+Message message_from_proto(const wire::StepReply &in) {
+    return StepReply{enum_from_proto(in.status(), StepStatus::Superseded, "step status"),
+                     VolumeId{in.volume()}, from_proto(in.migration()), from_proto(in.quota()), in.reason()};
 }
 
-Message get(const wire::Heartbeat &in) {
+Message message_from_proto(const wire::Heartbeat &in) {
     Heartbeat heartbeat{
         from_proto(in.map_epoch()), in.highest_epoch(), {}, in.unlisted_volumes(), in.ready_nodes()};
     for (const auto &load : in.volumes())
@@ -149,11 +149,11 @@
     return heartbeat;
 }
 
-Message get(const wire::MapSnapshot &in) {
+Message message_from_proto(const wire::MapSnapshot &in) {
     return MapSnapshot{from_proto(in.map()), migrations_from_proto(in)};
 }
 
-Message get(const wire::MapDelta &in) {
+Message message_from_proto(const wire::MapDelta &in) {
     MapDelta delta{from_proto(in.base()), from_proto(in.epoch()), {}, migrations_from_proto(in)};
     for (const auto &pins : in.pins())
         for (const auto volume : pins.volumes())
@@ -161,16 +161,16 @@
     return delta;
 }
 
-Message get(const wire::StaleMap &in) {
+Message message_from_proto(const wire::StaleMap &in) {
     return StaleMap{from_proto(in.map_epoch()), in.highest_epoch(), from_proto(in.held_map())};
 }
 
-Message get(const wire::OutcomeQuery &in) {
+Message message_from_proto(const wire::OutcomeQuery &in) {
     return OutcomeQuery{VolumeId{in.volume()}, from_proto(in.migration()), in.source_cell(),
                         in.target_cell()};
 }
 
-Message get(const wire::OutcomeReply &in) {
+Message message_from_proto(const wire::OutcomeReply &in) {
     return OutcomeReply{VolumeId{in.volume()}, from_proto(in.migration()), in.opened()};
 }
 
@@ -178,21 +178,21 @@
     using wire::Frame;
     switch (frame.body_case()) {
     case Frame::kMigrationStep:
-        return get(frame.migration_step());
+        return message_from_proto(frame.migration_step());
     case Frame::kStepReply:
-        return get(frame.step_reply());
+        return message_from_proto(frame.step_reply());
     case Frame::kHeartbeat:
-        return get(frame.heartbeat());
+        return message_from_proto(frame.heartbeat());
     case Frame::kMapSnapshot:
-        return get(frame.map_snapshot());
+        return message_from_proto(frame.map_snapshot());
     case Frame::kMapDelta:
-        return get(frame.map_delta());
+        return message_from_proto(frame.map_delta());
     case Frame::kStaleMap:
-        return get(frame.stale_map());
+        return message_from_proto(frame.stale_map());
     case Frame::kOutcomeQuery:
-        return get(frame.outcome_query());
+        return message_from_proto(frame.outcome_query());
     case Frame::kOutcomeReply:
-        return get(frame.outcome_reply());
+        return message_from_proto(frame.outcome_reply());
     case Frame::kOperatorCall: {
         const auto &call = frame.operator_call();
         return OperatorCall{call.id(), call.name(), call.body()};
@@ -204,7 +204,7 @@
     case Frame::BODY_NOT_SET:
         break;
     }
-    throw DecodeError(DecodeFailure::UnknownMessage, "a message of no known kind");
+    throw DecodeError(DecodeFailure::UnknownMessage, "frame without a known message");
 }
 
 } // namespace
@@ -213,16 +213,16 @@
     wire::Frame out;
     out.set_version(kFormatVersion);
     out.set_sender(frame.sender);
-    std::visit([&](const auto &body) { put(body, out); }, frame.body);
+    std::visit([&](const auto &body) { body_to_proto(body, out); }, frame.body);
     return out.SerializeAsString();
 }
 
 Frame decode_frame(std::string_view bytes) {
     wire::Frame in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        throw DecodeError(DecodeFailure::Malformed, "a malformed frame");
+        throw DecodeError(DecodeFailure::Malformed, "malformed frame");
     if (in.version() != kFormatVersion)
-        throw DecodeError(DecodeFailure::UnsupportedVersion, "a frame of another version");
+        throw DecodeError(DecodeFailure::UnsupportedVersion, "unsupported frame version");
     return {in.sender(), body_from_proto(in)};
 }
 
--- a/src/net/link/framing.hpp
+++ b/src/net/link/framing.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How frames are delimited on a connection: the length in 4 bytes, big-endian, then the frame.
+/// Delimits frames on a connection. Each frame is preceded by its length in 4 bytes, big-endian.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 
 inline constexpr std::size_t kMaxFrameBytes = 8 << 20;
 
-/// A peer announced a frame that is longer than kMaxFrameBytes.
+/// The length prefix of a received frame exceeds kMaxFrameBytes.
 class FrameTooLarge : public std::runtime_error {
 public:
-    FrameTooLarge() : std::runtime_error("a frame that is too large") {}
+    FrameTooLarge() : std::runtime_error("frame exceeds the size limit") {}
 };
 
-/// The frame with its length in front. `frame` has at most kMaxFrameBytes.
+/// Returns the frame preceded by its length. `frame` must have at most kMaxFrameBytes.
 std::string add_length_prefix(std::string_view frame);
 
-/// The frame at the start of `bytes`, without its length; nothing if it is not complete yet.
+/// Returns the frame at the start of `bytes`, without its length prefix, or nothing if it is incomplete.
 /// \throws FrameTooLarge
 std::optional<std::string_view> first_frame(std::string_view bytes);
 
-/// Bytes that a frame takes on the connection.
+/// Size of the frame including its length prefix.
 std::size_t framed_size(std::string_view frame);
 
 } // namespace marblewood::net::link
--- a/src/net/link/outbox.cpp
+++ b/src/net/link/outbox.cpp
@@ -13,7 +13,7 @@
 void Outbox::post(std::string peer, FrameBody body) {
     held_.push_back({newest_state_, std::move(peer), std::move(body)});
     if (held_.size() > kMaxHeldMessages)
-        held_.pop_front(); // as if the network had lost it
+        held_.pop_front(); // equivalent to a loss in the network, which receivers tolerate
     send_ready();
 }
 
--- a/src/net/link/outbox.hpp
+++ b/src/net/link/outbox.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Holds messages back until the state that they speak of is durable.
+/// Holds messages back until the states saved before them are durable.
 #pragma once
 
 #include "net/link/peer_transport.hpp"
@@ -7,16 +7,16 @@
 
 namespace marblewood::net::link {
 
-/// Runs on the loop of both; not thread-safe. The transport and the file must outlive it.
+/// Runs on the I/O context's thread of the transport and the file; not thread-safe. Both must outlive it.
 class Outbox {
 public:
-    static constexpr std::size_t kMaxHeldMessages = 8192; ///< Beyond, the oldest is dropped.
+    static constexpr std::size_t kMaxHeldMessages = 8192; ///< Above this, the oldest is dropped.
 
     Outbox(PeerTransport &transport, StateFile &file);
 
-    /// Saves a state; messages posted from now on wait for it.
+    /// Saves a state. Messages posted later are sent only once it is durable.
     void save(std::string state);
-    /// Sends a message once every state saved before is durable.
+    /// Sends a message once all states saved earlier are durable.
     void post(std::string peer, FrameBody body);
 
 private:
--- a/src/net/link/peer_transport.cpp
+++ b/src/net/link/peer_transport.cpp
@@ -9,18 +9,20 @@
 namespace marblewood::net::link {
 namespace {
 
-constexpr Micros kConnectTimeout = 500'000;    // us
-constexpr Micros kWriteTimeout = 2'000'000;    // us
-constexpr Micros kInitialBackoff = 50'000;     // us between attempts to connect, doubled each time
-constexpr Micros kMaxBackoff = 1'000'000;      // us
-constexpr Micros kInboundTimeout = 10'000'000; // us without a byte until an inbound connection is closed
+constexpr Micros kConnectTimeout = 500'000;
+constexpr Micros kWriteTimeout = 2'000'000;
+constexpr Micros kInitialBackoff = 50'000; // between attempts to connect; doubled after each failure
+constexpr Micros kMaxBackoff = 1'000'000;
+/// Inbound connections on which nothing was received for this time are closed.
+constexpr Micros kInboundIdleTimeout = 10'000'000;
 
 void close(tcp::socket &socket) {
     boost::system::error_code ignored;
     socket.close(ignored);
 }
 
-/// Peers never send on these connections: anything that can be read is the end of the connection.
+/// Whether the peer has closed the connection. Peers never send data on these connections, so received data
+/// also counts as the end.
 bool ended_by_peer(tcp::socket &socket) {
     char byte = 0;
     const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -66,9 +68,10 @@
         peer.wakeups.put(true);
 }
 
-/// With jitter, so that a restarted coordinator is not met by all brokers at once.
-asio::awaitable<void> PeerTransport::pause(Micros longest) {
-    std::uniform_int_distribution<Micros> jitter(longest / 2, longest);
+/// Waits for a random time between half of `max_delay` and `max_delay`, so that the brokers do not all
+/// connect to a restarted coordinator at once.
+asio::awaitable<void> PeerTransport::wait_with_jitter(Micros max_delay) {
+    std::uniform_int_distribution<Micros> jitter(max_delay / 2, max_delay);
     asio::steady_timer timer(io_, std::chrono::microseconds(jitter(random_)));
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -89,7 +92,8 @@
     }
 }
 
-/// Connects to the peer's present address unless the connection stands; waits after a failure.
+/// Connects to the peer's current address unless already connected to it. Waits for the backoff time and
+/// returns false if that fails.
 asio::awaitable<bool> PeerTransport::ensure_connected(Outbound &outbound, const Peer &peer) {
     tcp::socket &socket = outbound.socket;
     if (socket.is_open() && (outbound.connected_to != peer.address || ended_by_peer(socket)))
@@ -100,7 +104,7 @@
     const Micros deadline = deadlines_.clock.now() + kConnectTimeout;
     if (co_await dial(socket, outbound.connected_to, deadline, deadlines_)) {
         close(socket);
-        co_await pause(outbound.backoff);
+        co_await wait_with_jitter(outbound.backoff);
         outbound.backoff = std::min(2 * outbound.backoff, kMaxBackoff);
         co_return false;
     }
@@ -126,7 +130,7 @@
         if (error == asio::error::operation_aborted)
             co_return;
         if (error) {
-            co_await pause(kInitialBackoff);
+            co_await wait_with_jitter(kInitialBackoff);
             continue;
         }
         if (inbound_.size() >= kMaxInboundConnections)
@@ -140,7 +144,7 @@
     std::string received;
     core::Deadlines::Entry timeout;
     for (bool valid = true; valid;) {
-        timeout = close_after(*connection, kInboundTimeout);
+        timeout = close_after(*connection, kInboundIdleTimeout);
         if (co_await read_more(*connection, received))
             break;
         valid = deliver_frames(received);
@@ -150,7 +154,8 @@
     inbound_.erase(connection);
 }
 
-/// Hands on the complete frames and removes them; false if the peer broke the protocol.
+/// Passes all complete frames to on_frame_ and removes them from `received`. Returns false if the peer
+/// violated the protocol.
 bool PeerTransport::deliver_frames(std::string &received) {
     std::size_t consumed = 0;
     bool valid = true;
--- a/src/net/link/peer_transport.hpp
+++ b/src/net/link/peer_transport.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Transport between the brokers of an installation and their coordinator: frames over TCP, each process with
-/// one listener and one connection to each peer that it sends to. Delivery is not guaranteed: a frame that
-/// does not fit into a peer's queue, or was on a connection that broke, is lost.
+/// Transports frames over TCP between the brokers of an installation and their coordinator. Each process has
+/// one listener, and one connection to each peer that it sends to. Delivery is not guaranteed: frames are
+/// lost when a peer's queue is full or a connection fails.
 #pragma once
 
 #include "core/deadlines.hpp"
@@ -16,21 +16,21 @@
 
 namespace marblewood::net::link {
 
-/// Runs on the I/O context's thread; not thread-safe. Must outlive the context's run.
+/// Runs on the I/O context's thread; not thread-safe. Must exist as long as the context runs.
 class PeerTransport {
 public:
-    static constexpr std::size_t kMaxQueuedFrames = 512; ///< For one peer; the oldest is dropped.
+    static constexpr std::size_t kMaxQueuedFrames = 512; ///< Per peer. Above this, the oldest is dropped.
     static constexpr std::size_t kMaxQueuedBytes = 4 << 20;
-    static constexpr std::size_t kMaxInboundConnections = 256; ///< Beyond, the oldest is closed.
+    static constexpr std::size_t kMaxInboundConnections = 256; ///< Above this, the oldest is closed.
 
     using FrameHandler = std::function<void(const Frame &)>;
 
-    /// \param name a broker's, or cells::kCoordinator.
+    /// \param name this process's name: a broker's name, or cells::kCoordinator.
     /// \param on_frame called for each frame received.
     PeerTransport(asio::io_context &io, core::Deadlines &deadlines, std::string name, tcp::acceptor acceptor,
                   std::uint64_t seed, FrameHandler on_frame);
 
-    /// Sets where a peer listens; frames for a peer without an address are lost.
+    /// Sets the address at which a peer listens. Frames for a peer without an address are dropped.
     void set_peer_address(const std::string &peer, const tcp::endpoint &address);
     void send(const std::string &peer, FrameBody body);
     /// Frames dropped because a queue was full.
@@ -55,7 +55,7 @@
     asio::awaitable<void> send_loop(std::shared_ptr<Peer> peer);
     asio::awaitable<bool> ensure_connected(Outbound &outbound, const Peer &peer);
     asio::awaitable<void> send_first(Outbound &outbound, Peer &peer);
-    asio::awaitable<void> pause(Micros longest);
+    asio::awaitable<void> wait_with_jitter(Micros max_delay);
     asio::awaitable<void> accept_loop();
     asio::awaitable<void> receive_loop(Inbound::iterator connection);
     bool deliver_frames(std::string &received);
--- a/src/net/link/proto_conversion.cpp
+++ b/src/net/link/proto_conversion.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxBrokersPerVolume = 1000; // keeps the number in an int
+constexpr std::uint32_t kMaxBrokersPerVolume = 1000; // ensures that the received number fits into an int
 
 void to_proto(const Broker &broker, wire::Broker *out) {
     out->set_name(broker.name);
@@ -40,7 +40,7 @@
 
 double quantity_from_proto(double value) {
     if (!std::isfinite(value) || value < 0)
-        throw DecodeError(DecodeFailure::OutOfRange, "a quantity that is negative or not finite");
+        throw DecodeError(DecodeFailure::OutOfRange, "negative or non-finite quantity");
     return value;
 }
 
@@ -80,7 +80,8 @@
         to_proto(cell, out->add_cells());
     for (const std::string &node : map.spare_nodes)
         out->add_spare_nodes(node);
-    std::map<std::string, wire::CellPins *> pins_by_cell; // a cell's name once, then 8 bytes for each volume
+    // Grouping by cell encodes each cell's name only once and each volume in 8 bytes.
+    std::map<std::string, wire::CellPins *> pins_by_cell;
     for (const auto &[volume, cell] : map.pins) {
         wire::CellPins *&pins = pins_by_cell[cell];
         if (!pins) {
--- a/src/net/link/proto_conversion.hpp
+++ b/src/net/link/proto_conversion.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Conversions between the cells' types and protobuf that frames and state files share. Internal to the
+/// Conversions between the cells' types and protobuf, shared by frames and state files. Internal to the
 /// codec.
 #pragma once
 
--- a/src/net/link/state_codec.cpp
+++ b/src/net/link/state_codec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// State files of coordinators and members.
+/// Encoding and decoding of the state files of coordinators and members.
 #include "net/link/proto_conversion.hpp"
 
 #include <xxhash.h>
@@ -25,14 +25,14 @@
 template <typename Proto> Proto unseal(std::string_view bytes) {
     wire::SealedState sealed;
     if (!sealed.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        throw DecodeError(DecodeFailure::Malformed, "no state file");
+        throw DecodeError(DecodeFailure::Malformed, "malformed state file");
     if (sealed.version() != kFormatVersion)
-        throw DecodeError(DecodeFailure::UnsupportedVersion, "a state file of another version");
+        throw DecodeError(DecodeFailure::UnsupportedVersion, "unsupported state file version");
     if (sealed.hash() != checksum(sealed.state()))
-        throw DecodeError(DecodeFailure::ChecksumMismatch, "a state file that is truncated or corrupted");
+        throw DecodeError(DecodeFailure::ChecksumMismatch, "truncated or corrupted state file");
     Proto state;
     if (!state.ParseFromString(sealed.state()))
-        throw DecodeError(DecodeFailure::Malformed, "a state file with a malformed state");
+        throw DecodeError(DecodeFailure::Malformed, "malformed state in a state file");
     return state;
 }
 
--- a/src/net/link/state_file.cpp
+++ b/src/net/link/state_file.cpp
@@ -14,7 +14,7 @@
 namespace marblewood::net::link {
 namespace {
 
-constexpr std::chrono::milliseconds kRetryDelay{200}; // after a failed write
+constexpr std::chrono::milliseconds kWriteRetryDelay{200}; // after a failed write
 constexpr mode_t kFileMode = 0600;
 
 StateWriteError last_error(const char *operation) {
@@ -38,13 +38,13 @@
     return std::nullopt;
 }
 
-/// Makes the rename itself durable.
+/// Flushes the directory that contains `path`, so that the rename is durable.
 std::optional<StateWriteError> flush_directory_of(const std::string &path) {
     const std::string directory = std::filesystem::path(path).parent_path();
     const Descriptor descriptor(
         ::open(directory.empty() ? "." : directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (descriptor.get() < 0 || ::fsync(descriptor.get()) != 0)
-        return last_error("fsync of the folder");
+        return last_error("fsync of the directory");
     return std::nullopt;
 }
 
@@ -90,7 +90,7 @@
     boost::asio::post(pool_, [this, number = newest_, state = std::move(state)]() mutable {
         auto error = replace_file(path_, state);
         if (error)
-            std::this_thread::sleep_for(kRetryDelay);
+            std::this_thread::sleep_for(kWriteRetryDelay);
         boost::asio::post(io_, [this, number, state = std::move(state), error]() mutable {
             on_written(number, std::move(state), error);
         });
@@ -107,7 +107,7 @@
     } else {
         if (on_write_error)
             on_write_error(*error);
-        if (!pending_) // otherwise a newer state replaces it
+        if (!pending_) // otherwise a newer state will be written instead
             pending_ = std::move(state);
     }
     write_next();
--- a/src/net/link/state_file.hpp
+++ b/src/net/link/state_file.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// A state that must outlive the process, in one file. It is replaced atomically: written to a temporary file
-/// beside it, flushed, and renamed over it, by a thread of its own. While one state is being written only the
-/// newest of those that follow is kept.
+/// Persists a state in a file. Each write replaces the file atomically: a separate thread writes the state to
+/// a temporary file in the same directory, flushes it and renames it. Of the states saved during a write,
+/// only the newest is written next.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,38 +14,38 @@
 
 namespace marblewood::net::link {
 
-/// The state file exists and cannot be read.
+/// The state file exists but cannot be read.
 class StateFileUnreadable : public std::runtime_error {
 public:
     explicit StateFileUnreadable(const std::string &path) : std::runtime_error("cannot read " + path) {}
 };
 
-/// A system call that failed while a state was written.
+/// A failed system call during the write of a state.
 struct StateWriteError {
-    const char *operation; ///< The call, in words.
+    const char *operation; ///< Description of the system call.
     std::error_code cause;
     std::string message() const { return std::string(operation) + ": " + cause.message(); }
 };
 
-/// Used on the loop of `io`, which must outlive it; not thread-safe.
+/// Runs on the thread of `io`, which must outlive it; not thread-safe.
 class StateFile {
 public:
-    /// \param path empty: nothing is stored, and every state counts as durable at once.
+    /// \param path if empty, nothing is stored and every state counts as durable at once.
     StateFile(boost::asio::io_context &io, std::string path) : io_(io), path_(std::move(path)) {}
     ~StateFile() { pool_.join(); }
 
-    /// The file's content; nothing if there is no file.
+    /// Returns the file's content, or nothing if there is no file.
     /// \throws StateFileUnreadable
     std::optional<std::string> load() const;
 
-    /// Starts writing a state and returns its number; numbers ascend.
+    /// Starts to write a state and returns its number. Numbers are ascending.
     std::uint64_t save(std::string state);
-    /// Number of the newest state that is on disk.
+    /// Number of the newest state that is durable.
     std::uint64_t durable_state() const { return durable_; }
 
-    /// Called on the loop when durable_state() has grown.
+    /// Called on the thread of `io` when durable_state() has increased.
     std::function<void()> on_durable;
-    /// Called on the loop when a write failed; it is tried again.
+    /// Called on the thread of `io` when a write has failed. The write is retried.
     std::function<void(const StateWriteError &)> on_write_error;
 
 private:
--- a/tests/cell_cluster.hpp
+++ b/tests/cell_cluster.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A coordinator and brokers that exchange messages through a list, so that a test chooses the order of
-/// events. A copy is an independent cluster in the same state.
+/// A simulated cluster of a coordinator and brokers. Messages are kept in a list, so that a test controls the
+/// order of their delivery. A copy is an independent cluster in the same state.
 #pragma once
 
 #include "cells/cell_coordinator.hpp"
@@ -37,26 +37,28 @@
 
 struct CellCluster {
     static constexpr Micros kStart = 100'000'000;
-    static constexpr Micros kStep = 2'500'000; // longer than the timeout of a step
+    static constexpr Micros kBeyondStepTimeout = 2'500'000;
 
     struct InFlight {
-        std::string from; // a broker, or kCoordinator
+        std::string from; // a broker's name, or kCoordinator
         std::string to;
         Message message;
     };
-    // A broker's quota store; its content is lost when the broker restarts.
+    // A broker's quota store. A restart of the broker sets its units to zero.
     struct FakeQuotaStore : QuotaStore {
         explicit FakeQuotaStore(std::string broker) : name(std::move(broker)) {}
         std::string name;
-        TransferredQuota take(VolumeId) override { return {std::exchange(now->units[name], 0.0), 0, {}}; }
-        void set(VolumeId, double limit, double) override { now->units[name] = limit; }
-        static inline CellCluster *now = nullptr; // the cluster that is being acted on
+        TransferredQuota take(VolumeId) override {
+            return {std::exchange(active_cluster->units[name], 0.0), 0, {}};
+        }
+        void set(VolumeId, double limit, double) override { active_cluster->units[name] = limit; }
+        static inline CellCluster *active_cluster = nullptr; // set by activate()
     };
 
     explicit CellCluster(const CellMap &map) : initial_map(map), coordinator(map, 77, timing()) {
         for (const Cell &cell : map.cells)
             for (const Broker &broker : cell.brokers) {
-                quota_stores()[broker.name]; // made once, for all clusters
+                quota_stores()[broker.name]; // created once and shared by all clusters
                 start(broker.name);
                 units[broker.name] = 0;
             }
@@ -90,7 +92,8 @@
         if (const auto file = disks.find(name); file != disks.end())
             brokers.at(name).restore(net::link::decode_member_state(file->second));
     }
-    void settle() { // until all brokers have the map and nothing is in flight
+    // Runs until all brokers have the map and no message is in flight.
+    void settle() {
         for (int n = 0; n < 4; ++n) {
             tick(10);
             deliver_all();
@@ -103,7 +106,7 @@
     void perform(const std::string &by, MemberActions &actions) {
         for (MemberAction &action : actions) {
             if (auto *outgoing = std::get_if<OutgoingMessage>(&action);
-                outgoing && !(quiet && std::holds_alternative<Heartbeat>(outgoing->message)))
+                outgoing && !(drop_heartbeats && std::holds_alternative<Heartbeat>(outgoing->message)))
                 in_flight.push_back({by, outgoing->to, std::move(outgoing->message)});
             if (std::holds_alternative<SaveState>(action))
                 disks[by] = net::link::encode(brokers.at(by).state());
@@ -117,11 +120,11 @@
                 disks[""] = net::link::encode(coordinator.state());
         }
     }
-    void activate() { FakeQuotaStore::now = this; }
-    void deliver(std::size_t nth, bool keep = false) {
+    void activate() { FakeQuotaStore::active_cluster = this; }
+    void deliver(std::size_t nth, bool duplicate = false) {
         activate();
         const InFlight flight = in_flight[nth];
-        if (!keep)
+        if (!duplicate)
             in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(nth));
         if (flight.to.empty()) {
             CoordinatorActions actions;
@@ -136,7 +139,7 @@
     void deliver_all() {
         for (int n = 0; n < 2000 && !in_flight.empty(); ++n)
             deliver(0);
-        EXPECT_TRUE(in_flight.empty()) << "messages without end";
+        EXPECT_TRUE(in_flight.empty()) << "messages are still in flight";
     }
     void tick(Micros step) {
         activate();
@@ -163,7 +166,7 @@
     void begin(const std::string &at, std::optional<std::uint64_t> key = std::nullopt) {
         activate();
         brokers.at(at).on_request_started(now, routing_request(key));
-        units[at] -= 2; // as the decision module charges a request
+        units[at] -= 2; // the units that the decision module charges for a request
         volume_units -= 2;
     }
     void end(const std::string &at, bool served, std::optional<std::uint64_t> key = std::nullopt) {
@@ -172,9 +175,10 @@
         brokers.at(at).on_request_finished(now, routing_request(key), served, actions);
         perform(at, actions);
     }
-    void restart(const std::string &who, bool with_disk = true) { // messages in flight to it are lost
+    // Restarts a broker, or the coordinator if `who` is empty. Messages in flight to it are lost.
+    void restart(const std::string &who, bool with_disk = true) {
         activate();
-        quiet = false; // a restarted process needs heartbeats
+        drop_heartbeats = false; // a restarted process gets its map in reply to a heartbeat
         if (!with_disk)
             disks.erase(who);
         std::erase_if(in_flight, [&](const InFlight &f) { return f.to == who; });
@@ -188,7 +192,8 @@
         }
     }
 
-    // Invariants of every state: one cell at most serves the volume, and no quota is created.
+    // Checks the invariants of every state: at most one cell serves the volume, and no quota is created.
+    // Returns the violation, if any.
     std::optional<std::string> violation() {
         std::set<std::string> serving;
         for (const auto &[name, broker] : brokers)
@@ -200,12 +205,14 @@
         for (const auto &[name, held] : units)
             total_units += held;
         if (total_units > volume_units + 1e-9)
-            return fmt::format("{} units of limit where {} are left", total_units, volume_units);
+            return fmt::format("the brokers hold {} units of the limit, but only {} remain", total_units,
+                               volume_units);
         return std::nullopt;
     }
-    // Liveness: once messages arrive and nobody restarts, migrations end and the home cell serves the volume.
+    // Checks liveness: without further losses and restarts, migrations end and the home cell serves the
+    // volume.
     std::optional<std::string> violation_at_end() {
-        quiet = false;
+        drop_heartbeats = false;
         for (int n = 0; n < 120; ++n) {
             tick(250'000);
             deliver_all();
@@ -213,7 +220,7 @@
                 return why;
         }
         if (!coordinator.migrations().empty())
-            return "a move without end: " + coordinator.where(kVolume);
+            return "the migration did not end: " + coordinator.where(kVolume);
         std::set<std::string> serving;
         for (const auto &[name, broker] : brokers) {
             if (broker.counts().fenced)
@@ -222,7 +229,7 @@
                 serving.insert(name.substr(0, 1));
         }
         if (serving != std::set<std::string>{coordinator.map().home_cell(kVolume)->name})
-            return "nobody serves where it lives";
+            return "the cells that serve the volume are not exactly its home cell";
         return std::nullopt;
     }
     std::string fingerprint() const {
@@ -256,13 +263,14 @@
     }
 
     CellMap initial_map;
-    bool quiet = false; // drops heartbeats: they are many, and change nothing while all hold the map
+    // Heartbeats are many and have no effect while all brokers hold the map.
+    bool drop_heartbeats = false;
     Micros now = kStart;
     std::uint64_t origin = 77;
     CellCoordinator coordinator;
     std::map<std::string, CellMember> brokers;
     std::map<std::string, double> units;
-    double volume_units = 0; // that the quota stores together may hold
+    double volume_units = 0; // upper limit for the sum of units in all quota stores
     std::map<std::string, std::string> disks;
     std::vector<InFlight> in_flight;
 };
--- a/tests/cell_codec_test.cpp
+++ b/tests/cell_codec_test.cpp
@@ -1,12 +1,12 @@
 /// \file
-/// Frames and state files: their size, corrupted bytes, and the length prefix.
+/// Encoding of frames and state files: sizes, corrupted input and the length prefix.
 #include "cell_cluster.hpp"
 #include "cell_maps.hpp"
 #include "net/link/framing.hpp"
 
 using namespace test;
 
-// 4,000 volumes pinned in a map of 8 cells.
+// Encodes a map of 8 cells with 4,000 pinned volumes.
 TEST(CellCodec, AMapStaysSmallOnTheWire) {
     CellMap map = many_cells(8, 4);
     const auto bytes = [&] {
@@ -45,7 +45,7 @@
                 EXPECT_EQ(net::link::encode(net::link::decode_coordinator_state(bad)), coordinator);
             else
                 EXPECT_EQ(net::link::encode(net::link::decode_member_state(bad)), broker);
-        } catch (const net::link::DecodeError &) { // as it should be
+        } catch (const net::link::DecodeError &) { // corruption was detected
         }
         try {
             net::link::decode_frame(bad);
--- a/tests/cell_map_test.cpp
+++ b/tests/cell_map_test.cpp
@@ -17,7 +17,7 @@
             const std::string &to = after.home_cell(nth_volume(n))->name;
             if (from == to)
                 continue;
-            EXPECT_EQ(to, joined); // none between old cells
+            EXPECT_EQ(to, joined); // no volume migrates between existing cells
             ++moved;
         }
         const double part = static_cast<double>(moved) / kVolumes;
@@ -36,7 +36,7 @@
 }
 
 TEST(CellMap, TwoVolumesRarelyShareAllTheirBrokers) {
-    const CellMap map = many_cells(1, 6, 2); // 15 pairs of brokers
+    const CellMap map = many_cells(1, 6, 2); // 15 possible pairs of brokers
     int same = 0;
     constexpr int kPairs = 6000;
     for (int n = 1; n <= kPairs; ++n) {
@@ -88,7 +88,7 @@
     EXPECT_NE(why([](CellMap &m) { m.cells.clear(); }).find("no cell"), std::string::npos);
 }
 
-// One volume migrates: brokers get a delta, and one that missed a delta gets a snapshot.
+// When one volume migrates, brokers get a delta. A broker that missed a delta gets a snapshot.
 TEST(CellMap, ADeltaIsSentToBrokersThatHoldTheLastMap) {
     CellMap map = two_cells(2, 2);
     for (std::uint64_t n = 1; n <= 4000; ++n)
@@ -115,7 +115,7 @@
         EXPECT_EQ(broker.map()->epoch, cluster.coordinator.map().epoch) << name;
         EXPECT_EQ(broker.map()->pins, cluster.coordinator.map().pins) << name;
     }
-    // One delta is lost: the next finds the broker on another map, and it gets a snapshot.
+    // One delta is lost. The next one does not apply to the broker's map, so the broker gets a snapshot.
     ASSERT_TRUE(cluster.move("a").ok);
     for (std::size_t n = 0; !cluster.in_flight.empty();) {
         if (cluster.in_flight[0].to == "b2" &&
--- a/tests/cell_maps.hpp
+++ b/tests/cell_maps.hpp
@@ -25,7 +25,7 @@
     }
     return map;
 }
-/// Different volumes for different `n`.
+/// Returns a different volume for each `n`.
 inline VolumeId nth_volume(std::uint64_t n) {
     return VolumeId{n * 0x9e3779b97f4a7c15};
 }
--- a/tests/cell_migrations_test.cpp
+++ b/tests/cell_migrations_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Migrations of volumes between cells: all orders of events in a small cluster, random orders in a larger
-/// one.
+/// Migrations of volumes between cells: all orders of events in a small cluster, and random orders in a
+/// larger one.
 #include "cell_cluster.hpp"
 
 #include <unordered_set>
@@ -9,111 +9,121 @@
 
 namespace {
 
-// Explores every order in which messages arrive, with as many losses, duplicates, timeouts and restarts as
-// are allowed.
+// Explores every order of message delivery, with up to the given numbers of losses, duplicates, timeouts and
+// restarts.
 struct Explorer {
     int drops = 0;
     int duplicates = 0;
     int waits = 0;
     int restarts = 0;
-    bool disks = true;    // a restarted process finds its file again
-    bool rival = false;   // a second operator moves the volume elsewhere
-    bool complete = true; // otherwise only as many states as are allowed
+    bool disks = true;            // whether a restarted process still has its state file
+    bool second_operator = false; // whether a second operator moves the volume back to its first cell
+    bool complete = true;         // whether to require that max_states suffices for all states
     std::size_t max_states = 25'000;
     std::size_t seen_states = 0, checked_ends = 0;
     std::unordered_set<std::size_t> seen = {};
 
-    std::string explore(CellCluster cluster, const std::string &path, int d, int u, int w, int k, bool open,
-                        bool rivals) {
-        const std::size_t print = std::hash<std::string>()(
-            cluster.fingerprint() + fmt::format("|{}{}{}{}{}{}", d, u, w, k, open, rivals));
-        if (!seen.insert(print).second || seen.size() > max_states)
+    std::string explore(CellCluster cluster, const std::string &path, int drops_left, int duplicates_left,
+                        int waits_left, int restarts_left, bool request_open, bool second_operator_left) {
+        const std::size_t state_hash = std::hash<std::string>()(
+            cluster.fingerprint() + fmt::format("|{}{}{}{}{}{}", drops_left, duplicates_left, waits_left,
+                                                restarts_left, request_open, second_operator_left));
+        if (!seen.insert(state_hash).second || seen.size() > max_states)
             return {};
         ++seen_states;
         if (const auto why = cluster.violation())
             return path + ": " + *why;
-        if (print % 16 == 0) {
+        if (state_hash % 16 == 0) {
             ++checked_ends;
             CellCluster end = cluster;
-            if (open)
+            if (request_open)
                 end.end("a1", false, 9);
             if (const auto why = end.violation_at_end())
-                return path + ", then quiet: " + *why;
+                return path + ", then without further faults: " + *why;
         }
-        const auto go = [&](const std::string &step, auto change, int dd, int uu, int ww, int kk, bool oo,
-                            bool rr) {
+        const auto explore_after = [&](const std::string &step, auto change, int next_drops,
+                                       int next_duplicates, int next_waits, int next_restarts,
+                                       bool next_request_open, bool next_second_operator) {
             CellCluster next = cluster;
             change(next);
-            return explore(std::move(next), path + " " + step, dd, uu, ww, kk, oo, rr);
+            return explore(std::move(next), path + " " + step, next_drops, next_duplicates, next_waits,
+                           next_restarts, next_request_open, next_second_operator);
         };
-        std::set<std::string> same; // equal messages need one try
+        std::set<std::string> tried; // equal messages are tried only once
         for (std::size_t n = 0; n < cluster.in_flight.size(); ++n) {
             const CellCluster::InFlight &f = cluster.in_flight[n];
-            if (!same.insert(f.to + net::link::encode(net::link::Frame{f.from, f.message})).second)
+            if (!tried.insert(f.to + net::link::encode(net::link::Frame{f.from, f.message})).second)
                 continue;
             const std::string name =
                 fmt::format("{}>{}:{}{}", f.from, f.to, f.message.index(),
                             std::holds_alternative<MigrationStep>(f.message)
                                 ? static_cast<int>(std::get<MigrationStep>(f.message).kind)
                                 : 0);
-            if (auto bad = go(
-                    name, [&](CellCluster &x) { x.deliver(n); }, d, u, w, k, open, rivals);
-                !bad.empty())
-                return bad;
-            if (d > 0)
-                if (auto bad = go(
+            if (auto failure = explore_after(
+                    name, [&](CellCluster &x) { x.deliver(n); }, drops_left, duplicates_left, waits_left,
+                    restarts_left, request_open, second_operator_left);
+                !failure.empty())
+                return failure;
+            if (drops_left > 0)
+                if (auto failure = explore_after(
                         "lose " + name,
                         [&](CellCluster &x) {
                             x.in_flight.erase(x.in_flight.begin() + static_cast<std::ptrdiff_t>(n));
                         },
-                        d - 1, u, w, k, open, rivals);
-                    !bad.empty())
-                    return bad;
-            if (u > 0)
-                if (auto bad = go(
-                        "twice " + name, [&](CellCluster &x) { x.deliver(n, true); }, d, u - 1, w, k, open,
-                        rivals);
-                    !bad.empty())
-                    return bad;
+                        drops_left - 1, duplicates_left, waits_left, restarts_left, request_open,
+                        second_operator_left);
+                    !failure.empty())
+                    return failure;
+            if (duplicates_left > 0)
+                if (auto failure = explore_after(
+                        "twice " + name, [&](CellCluster &x) { x.deliver(n, true); }, drops_left,
+                        duplicates_left - 1, waits_left, restarts_left, request_open, second_operator_left);
+                    !failure.empty())
+                    return failure;
         }
-        if (open)
-            if (auto bad = go(
-                    "end", [](CellCluster &x) { x.end("a1", false, 9); }, d, u, w, k, false, rivals);
-                !bad.empty())
-                return bad;
-        if (w > 0)
-            if (auto bad = go(
-                    "wait", [](CellCluster &x) { x.tick(CellCluster::kStep); }, d, u, w - 1, k, open, rivals);
-                !bad.empty())
-                return bad;
-        if (rivals)
-            if (auto bad = go(
-                    "rival", [](CellCluster &x) { x.move("a"); }, d, u, w, k, open, false);
-                !bad.empty())
-                return bad;
-        if (k > 0)
+        if (request_open)
+            if (auto failure = explore_after(
+                    "end", [](CellCluster &x) { x.end("a1", false, 9); }, drops_left, duplicates_left,
+                    waits_left, restarts_left, false, second_operator_left);
+                !failure.empty())
+                return failure;
+        if (waits_left > 0)
+            if (auto failure = explore_after(
+                    "wait", [](CellCluster &x) { x.tick(CellCluster::kBeyondStepTimeout); }, drops_left,
+                    duplicates_left, waits_left - 1, restarts_left, request_open, second_operator_left);
+                !failure.empty())
+                return failure;
+        if (second_operator_left)
+            if (auto failure = explore_after(
+                    "second operator", [](CellCluster &x) { x.move("a"); }, drops_left, duplicates_left,
+                    waits_left, restarts_left, request_open, false);
+                !failure.empty())
+                return failure;
+        if (restarts_left > 0)
             for (const std::string who : {"", "a1", "b1"}) {
-                const bool gone = who == "a1"; // its open request ends with it
-                if (auto bad = go(
-                        "restart " + who, [&](CellCluster &x) { x.restart(who, disks); }, d, u, w, k - 1,
-                        open && !gone, rivals);
-                    !bad.empty())
-                    return bad;
+                const bool ends_open_request = who == "a1";
+                if (auto failure = explore_after(
+                        "restart " + who, [&](CellCluster &x) { x.restart(who, disks); }, drops_left,
+                        duplicates_left, waits_left, restarts_left - 1, request_open && !ends_open_request,
+                        second_operator_left);
+                    !failure.empty())
+                    return failure;
             }
         return {};
     }
     void run() {
-        // The larger spaces are cut off, unless somebody has the minutes for them.
+        // By default the larger state spaces are explored only in part, because all states take minutes.
         if (std::getenv("MARBLEWOOD_EXHAUSTIVE")) {
             complete = true;
             max_states = 50'000'000;
         }
         CellCluster cluster(two_cells(1, 1));
-        cluster.quiet = true;
+        cluster.drop_heartbeats = true;
         cluster.begin("a1", 9);
         ASSERT_TRUE(cluster.move("b").ok);
-        const std::string bad = explore(cluster, "", drops, duplicates, waits, restarts, true, rival);
-        EXPECT_EQ(bad, "");
+        const std::string failure =
+            explore(cluster, "", drops, duplicates, waits, restarts, true, second_operator);
+        EXPECT_EQ(failure, "");
         if (complete)
             EXPECT_LT(seen.size(), max_states) << "not explored to the end";
         fmt::print("{} states, {} run to their end\n", seen_states, checked_ends);
@@ -142,7 +152,7 @@
     Explorer{.drops = 1, .waits = 1, .restarts = 1, .complete = false}.run();
 }
 TEST(CellMigrations, AllOrdersWithTwoOperators) {
-    Explorer{.waits = 1, .rival = true, .complete = false}.run();
+    Explorer{.waits = 1, .second_operator = true, .complete = false}.run();
 }
 
 TEST(CellMigrations, CompletesAndTransfersTheQuota) {
@@ -169,15 +179,15 @@
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, cluster.routing_request()).kind,
               RoutingDecision::Kind::Wait);
     EXPECT_EQ(cluster.brokers.at("b1").route(cluster.now, cluster.routing_request()).kind,
-              RoutingDecision::Kind::Forward); // to where it lives
+              RoutingDecision::Kind::Forward); // to the home cell
     cluster.end("a1", true);
     cluster.deliver_all();
     EXPECT_EQ(cluster.brokers.at("b1").route(cluster.now, cluster.routing_request()).kind,
               RoutingDecision::Kind::Serve);
 }
 
-// A write with an idempotency key that failed before the volume migrated: its repeat goes back to the source,
-// which has retained its units.
+// A write with an idempotency key fails before the volume migrates. Its repeat is routed back to the source,
+// which has retained the units for it.
 TEST(CellMigrations, ARepeatGoesWhereTheFirstAttemptMayHaveRun) {
     CellCluster cluster(two_cells(1, 1));
     cluster.begin("a1", 9);
@@ -194,10 +204,10 @@
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, repeat).kind, RoutingDecision::Kind::Serve);
     cluster.activate();
     cluster.brokers.at("a1").on_request_started(cluster.now, repeat);
-    EXPECT_DOUBLE_EQ(cluster.units["a1"], 2); // what was kept, and no more
+    EXPECT_DOUBLE_EQ(cluster.units["a1"], 2); // only the retained units
     EXPECT_NE(cluster.brokers.at("a1").route(cluster.now, repeat).kind,
               RoutingDecision::Kind::Serve); // it is spent
-    // Another key is as new, and so is this one once its window has closed.
+    // Another key is served as a new request, and so is this key once its window has closed.
     EXPECT_EQ(cluster.brokers.at("b1").route(cluster.now, cluster.routing_request(10)).kind,
               RoutingDecision::Kind::Serve);
     cluster.now += 6'000'000;
@@ -216,7 +226,7 @@
     cluster.deliver_all();
     EXPECT_EQ(cluster.coordinator.migrations().at(kVolume).stage, MigrationStage::Draining);
     for (int n = 0; n < 18; ++n) {
-        cluster.tick(250'000); // over the drain's time
+        cluster.tick(250'000); // 4.5 s in total, longer than drain_timeout
         cluster.deliver_all();
     }
     EXPECT_EQ(cluster.coordinator.counters().aborted, 1u);
@@ -245,8 +255,8 @@
     EXPECT_DOUBLE_EQ(cluster.units["a1"], CellCluster::kUnits);
 }
 
-// The coordinator stops once the source is drained: the source asks the arbiter and takes the volume back,
-// and the coordinator's return does not change that.
+// The coordinator becomes unreachable once the source has drained. The source asks the arbiter and resumes
+// serving the volume, and the return of the coordinator does not change that.
 TEST(CellMigrations, AFencedSourceWithoutACoordinatorAsksTheArbiter) {
     CellCluster cluster(two_cells(1, 1));
     ASSERT_TRUE(cluster.move("b").ok);
@@ -284,7 +294,7 @@
     EXPECT_FALSE(cluster.move("nowhere").ok);
     cluster.deliver_all();
     EXPECT_EQ(cluster.coordinator.counters().completed, 1u);
-    EXPECT_TRUE(cluster.move("b").ok); // it is there: pinned already
+    EXPECT_TRUE(cluster.move("b").ok); // the volume is already in that cell, and is pinned there
     EXPECT_TRUE(cluster.move("a").ok);
     cluster.deliver_all();
     EXPECT_EQ(cluster.coordinator.map().home_cell(kVolume)->name, "a");
@@ -298,12 +308,14 @@
     ASSERT_TRUE(cluster.coordinator.set_frozen("b", false, actions).ok);
     Heartbeat hello{cluster.coordinator.map().epoch, 0, {{kVolume, 900, 10, 1}}, 0, 2};
     cluster.coordinator.on_message(cluster.now, "a1", hello, actions);
-    const auto reply = cluster.move("b"); // 900 of a capacity of 1000, of which 850 may be promised
+    const auto reply =
+        cluster.move("b"); // a reserve of 900, where 850 of the capacity of 1000 may be reserved
     EXPECT_FALSE(reply.ok);
     EXPECT_NE(reply.text.find("does not fit"), std::string::npos) << reply.text;
 }
 
-// A coordinator restored with an older file hands out no epoch that a broker has seen, and adopts their map.
+// A coordinator restored from an older state file assigns no epoch that a broker has seen, and adopts the
+// brokers' map.
 TEST(CellMigrations, ACoordinatorWithAnOlderFileContinuesAboveWhatBrokersHaveSeen) {
     CellCluster cluster(two_cells(2, 1));
     const std::string older = cluster.disks[""];
@@ -314,7 +326,7 @@
     const std::uint64_t greatest = cluster.brokers.at("a1").state().highest_epoch;
     cluster.disks[""] = older;
     cluster.restart("");
-    EXPECT_FALSE(cluster.move("a").ok); // no number before a majority is heard
+    EXPECT_FALSE(cluster.move("a").ok); // no epoch is assigned before a majority of brokers has reported
     std::set<std::uint64_t> given;
     for (int n = 0; n < 8; ++n) {
         cluster.tick(500'000);
@@ -333,7 +345,7 @@
     EXPECT_EQ(cluster.violation_at_end(), std::nullopt);
 }
 
-// A broker with an old map forwards by it, and gets the newer one from the broker that rejects.
+// A broker with an old map gets the newer map from another broker, and forwards according to it.
 TEST(CellMigrations, ABrokerWithAnOldMapLearnsFromTheOthers) {
     CellCluster cluster(two_cells(2, 1));
     const auto old = cluster.brokers.at("a2").state();
@@ -357,10 +369,10 @@
     RoutingRequest far = cluster.routing_request();
     far.hops = CellMember::kMaxHops;
     EXPECT_EQ(late.route(cluster.now, far).kind,
-              RoutingDecision::Kind::Refuse); // no request goes round for ever
+              RoutingDecision::Kind::Reject); // limits forwarding loops
 }
 
-// Two brokers of each cell, migrations there and back, losses, duplicates and restarts at random.
+// Runs random migrations, losses, duplicates and restarts in two cells of two brokers each.
 TEST(CellMigrations, AtRandom) {
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
         std::mt19937_64 random(seed);
--- a/tests/cell_placement_test.cpp
+++ b/tests/cell_placement_test.cpp
@@ -12,7 +12,7 @@
     ReservedRates reserved;
     EXPECT_EQ(choose_cell(map, volume, 800, reserved), order[0]->name);
     reserved[order[0]->name] = 100;
-    EXPECT_EQ(choose_cell(map, volume, 800, reserved), order[1]->name); // 850 may be reserved
+    EXPECT_EQ(choose_cell(map, volume, 800, reserved), order[1]->name); // only 850 of 1,000 may be reserved
     EXPECT_EQ(choose_cell(map, volume, 800, reserved, {order[1]->name}), order[2]->name);
     EXPECT_EQ(choose_cell(map, volume, 851, {}), std::nullopt);
     for (Cell &cell : map.cells)
@@ -52,7 +52,8 @@
     }
 }
 
-// All nodes of a cell drain: what fits elsewhere migrates, and home again once the cell is restored.
+// All nodes of a cell drain. The volumes that fit into other cells start to migrate, and keep their home once
+// the cell is restored.
 TEST(CellPlacement, DrainedCellsAreEvacuatedAndRestored) {
     CellMap map = many_cells(2, 1, 1);
     CellCoordinator::Timing timing;
@@ -79,18 +80,18 @@
         coordinator.tick(now, actions);
     }
     EXPECT_TRUE(coordinator.map().cell("cell-0")->evacuated);
-    EXPECT_EQ(coordinator.migrations().size(), 4u); // 850 of capacity take four of 200
+    EXPECT_EQ(coordinator.migrations().size(), 4u); // a reservable capacity of 850 fits four volumes of 200
     for (const auto &[volume, migration] : coordinator.migrations())
         EXPECT_EQ(migration.target_cell, "cell-1");
     CoordinatorActions more;
-    EXPECT_FALSE(coordinator.evacuate("cell-1", more).ok); // no other cell is left
+    EXPECT_FALSE(coordinator.evacuate("cell-1", more).ok); // no other cell accepts volumes
     EXPECT_TRUE(coordinator.restore_cell("cell-0", more).ok);
     EXPECT_FALSE(coordinator.map().cell("cell-0")->evacuated);
     for (const auto &v : here)
-        EXPECT_EQ(coordinator.map().home_cell(v.volume)->name, "cell-0"); // none was opened elsewhere
+        EXPECT_EQ(coordinator.map().home_cell(v.volume)->name, "cell-0"); // no migration has opened
 }
 
-// More is reserved than a cell may give: just enough migrates elsewhere.
+// A cell's reserves exceed its reservable capacity, so the fewest volumes that suffice migrate elsewhere.
 TEST(CellPlacement, AnOvercommittedCellIsRelieved) {
     CellCoordinator coordinator(many_cells(2, 1, 1), 5, {});
     CoordinatorActions actions;
@@ -105,13 +106,15 @@
     };
     heartbeat();
     coordinator.tick(now, actions);
-    ASSERT_EQ(coordinator.migrations().size(), 1u); // 1,000 of 850: one of 200 is enough
+    ASSERT_EQ(coordinator.migrations().size(),
+              1u); // 1,000 are reserved of at most 850, so one volume of 200 suffices
     EXPECT_EQ(coordinator.migrations().begin()->second.target_cell, "cell-1");
     coordinator.tick(now + 100'000, actions);
     EXPECT_EQ(coordinator.migrations().size(), 1u);
 }
 
-// A cell joins: no volume changes its cell at once, and about a third then migrates, to the new cell only.
+// When a third cell joins, all volumes first stay in their cells. About a third of them then migrate, all to
+// the new cell.
 TEST(CellPlacement, VolumesMigrateIntoAJoiningCell) {
     CellCoordinator::Timing timing;
     timing.max_migrations = 1000;
@@ -131,10 +134,11 @@
     EXPECT_THROW(coordinator.relayout(CellMap(), actions), std::invalid_argument);
     CellMap other = many_cells(3, 1, 1);
     other.cells[0].brokers[0].name = "another";
-    const auto no = coordinator.relayout(other, actions); // under volumes that live there
-    EXPECT_FALSE(no.ok);
-    EXPECT_NE(no.text.find("'cell-0' would change its brokers"), std::string::npos) << no.text;
-    EXPECT_FALSE(coordinator.relayout(many_cells(1, 1, 1), actions).ok); // cell-1 would go
+    const auto refusal = coordinator.relayout(other, actions); // cell-0 has volumes
+    EXPECT_FALSE(refusal.ok);
+    EXPECT_NE(refusal.text.find("'cell-0' would change its brokers"), std::string::npos) << refusal.text;
+    EXPECT_FALSE(
+        coordinator.relayout(many_cells(1, 1, 1), actions).ok); // would remove cell-1, which has volumes
     std::map<VolumeId, std::string> before;
     for (std::uint64_t n = 1; n <= 300; ++n)
         before[nth_volume(n)] = coordinator.map().home_cell(nth_volume(n))->name;
@@ -149,15 +153,15 @@
     EXPECT_NEAR(static_cast<double>(coordinator.migrations().size()), 100, 4 * std::sqrt(300 * 2 / 9.0));
     for (const auto &[volume, migration] : coordinator.migrations())
         EXPECT_EQ(migration.target_cell, "cell-2");
-    EXPECT_FALSE(coordinator.relayout(many_cells(3, 1, 1), actions).ok); // while they move
+    EXPECT_FALSE(coordinator.relayout(many_cells(3, 1, 1), actions).ok); // refused during migrations
 }
 
-// A client learns at once that its cell has no ready node.
+// Requests are rejected without delay if the cell has no ready node.
 TEST(CellPlacement, AVolumeWithoutReadyNodesIsRejectedAtOnce) {
     CellCluster cluster(two_cells(1, 1));
     cluster.brokers.at("a1").set_ready_nodes(0);
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, cluster.routing_request()).kind,
-              RoutingDecision::Kind::Refuse);
+              RoutingDecision::Kind::Reject);
     cluster.brokers.at("a1").set_ready_nodes(1);
     EXPECT_EQ(cluster.brokers.at("a1").route(cluster.now, cluster.routing_request()).kind,
               RoutingDecision::Kind::Serve);
--- a/tests/cells_compatibility_test.cpp
+++ b/tests/cells_compatibility_test.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Bytes that earlier versions wrote: state files of coordinators and members, and every message of the link.
-/// The fixtures were written by commit 98b3caf; a test that fails here means that an upgrade would lose state
-/// or that two versions could not talk to each other.
+/// Compatibility with the encoding of earlier versions: state files of coordinators and members, and every
+/// message between them. The fixtures were written by commit 98b3caf. A failure means that an upgrade would
+/// lose state or that two versions could not exchange messages.
 #include "cells/cell_coordinator.hpp"
 #include "cells_samples.hpp"
 
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// Encoding fixes the bytes of each field; encoding what was decoded gives the same bytes again, so decoding
-// finds each field where encoding put it.
+// Each sample must encode to the recorded bytes, and the decoded bytes must encode to the same bytes again.
+// This verifies the position of each field in both directions.
 TEST(CellsCompatibility, EveryMessageKeepsItsBytes) {
     std::istringstream lines(fixture("messages.hex"));
     std::map<std::string, std::string> golden;
@@ -121,7 +121,8 @@
     }
 }
 
-// Files of processes that ran: the volume was moved by hand from cell a to cell b, and is pinned there.
+// Reads state files written by running processes, after an operator had moved the volume from cell a to cell
+// b, where it is pinned.
 TEST(CellsCompatibility, FilesOfARunningInstallationAreRead) {
     const VolumeId volume{0x3b4d60021};
     const CoordinatorState coordinator = link::decode_coordinator_state(fixture("run/keeper.cells"));
--- a/tests/cells_net_test.cpp
+++ b/tests/cells_net_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cells over sockets: a coordinator and two brokers as processes, with a node for each broker.
+/// Tests cells over sockets, with a coordinator and two brokers as processes and one node per broker.
 #include "helper.hpp"
 
 #include <random>
@@ -10,7 +10,8 @@
 namespace {
 
 const std::string kVolume = "00000003b4d60021", kPiece = "7f3a9c21e0b4d655";
-// The helper's settings with a short deduplication window, so that a restarted broker soon knows all keys.
+// The settings of helper.hpp with a shorter deduplication window, so that a restarted broker soon knows all
+// keys that are still valid.
 std::string settings() {
     std::string text = kSettings;
     const auto change = [&](const std::string &from, const std::string &to) {
@@ -43,7 +44,7 @@
         start_a();
         start_b();
         await_quorum();
-        // Wherever the hash puts the volume, the tests begin with it in cell a.
+        // All tests begin with the volume in cell a, whichever cell the hash chooses.
         for (int n = 0; n < 1000 && where().find("cell a\n") == std::string::npos; ++n) {
             cells("POST", "move", kVolume + " a");
             std::this_thread::sleep_for(10ms);
@@ -52,7 +53,7 @@
         await_no_migration();
     }
     ~Installation() {
-        coordinator.kill(); // before the folder that they write to
+        coordinator.kill(); // the processes must end before their directory is removed
         broker_a.reset();
         broker_b.reset();
         std::filesystem::remove_all(folder);
@@ -72,7 +73,7 @@
         return operators_call(control, method, "cells/" + what, body);
     }
     std::string where() const { return cells("GET", "where/" + kVolume).second; }
-    // Until the coordinator has heard from both brokers that their node is ready.
+    // Waits until both brokers have reported to the coordinator that their node is ready.
     void await_quorum() const {
         for (int n = 0; n < 1000; ++n, std::this_thread::sleep_for(10ms)) {
             const std::string list = cells("GET", "list").second;
@@ -86,14 +87,14 @@
         }
         assert(!"never settled");
     }
-    void await_no_migration() const { // until no migration is under way
+    void await_no_migration() const {
         for (int n = 0; n < 1500; ++n, std::this_thread::sleep_for(10ms))
             if (const auto [status, list] = cells("GET", "list");
                 status == 200 && list.find("moving") == std::string::npos)
                 return;
         assert(!"a move without end");
     }
-    // Retries the migration, which is aborted while a source may have forgotten keys.
+    // Retries the migration, because it is aborted as long as a restarted source may not know all keys.
     void move(const std::string &to) const {
         for (int n = 0; n < 10; ++n) {
             await_no_migration();
@@ -131,12 +132,12 @@
 void a_migration_survives_a_restart_of_the_coordinator() {
     Installation installation(serving("a"), serving("b"));
     assert(request(*installation.broker_a, get(kPiece)) == "a");
-    assert(request(*installation.broker_b, get(kPiece)) == "a"); // forwarded to where it lives
+    assert(request(*installation.broker_b, get(kPiece)) == "a"); // forwarded to the home cell
     installation.move("b");
     assert(request(*installation.broker_a, get(kPiece)) == "b");
     assert(request(*installation.broker_b, get(kPiece)) == "b");
     assert(installation.where().find("pinned by an operator") != std::string::npos);
-    // Brokers go on without a coordinator, which continues from its file.
+    // Brokers continue to serve without a coordinator. A restarted coordinator continues from its state file.
     const std::uint64_t before = installation.epoch();
     installation.coordinator.kill();
     assert(request(*installation.broker_a, get(kPiece)) == "b");
@@ -145,20 +146,21 @@
     installation.start_coordinator();
     installation.await_quorum();
     assert(installation.where().find("cell b\n") != std::string::npos && installation.epoch() > before);
-    // Operators may call any broker.
+    // Operators can send calls to any broker.
     assert(installation.broker_a->call("GET", "cells/where/" + kVolume).second.find("cell b\n") !=
            std::string::npos);
     assert(installation.broker_a->call("POST", "cells/move", kVolume + " nowhere").first == 409);
     assert(installation.broker_a->call("POST", "cells/where/" + kVolume).first == 405);
     assert(installation.broker_a->call("GET", "cells/nonsense").first == 404);
-    // The coordinator may have been killed before it had saved the end of the migration, which then goes on.
+    // The coordinator may have been killed before it saved the end of the migration; it then resumes the
+    // migration.
     installation.await_no_migration();
     assert(installation.broker_a->call("POST", "cells/pin", kVolume).second.find("already") !=
            std::string::npos);
     assert(installation.broker_a->call("POST", "cells/pin", "nonsense").first == 409);
 }
 
-// An open request ends where it started; new ones wait and are served by the target.
+// During a migration an open request ends at the source, and new requests wait and are served by the target.
 void requests_wait_for_a_migration() {
     std::atomic<bool> hold = false, go = false;
     Installation installation(
@@ -172,7 +174,7 @@
         },
         serving("b"));
     installation.move("b");
-    installation.move("a"); // from here on both know all keys
+    installation.move("a"); // now both brokers know all valid keys
     hold = true;
     Socket first = installation.broker_a->client(), second = installation.broker_a->client();
     first.send(get(kPiece, 0, 5000));
@@ -192,18 +194,19 @@
     assert(second.value()->text == "b");
 }
 
-// A write with an idempotency key that failed before the migration and is repeated after it reaches the node
+// A write with an idempotency key fails before the migration. Its repeat after the migration reaches the node
 // of the first attempt.
 void a_repeat_reaches_the_node_of_the_first_attempt() {
-    std::atomic<bool> lose = false;
+    std::atomic<bool> fail_writes = false;
     Installation installation(
         [&](const std::vector<std::string> &words, int) {
-            return words[0] == "OBJ.PUT" && lose ? std::string("-ERR failed\r\n") : RespNode::served("a");
+            return words[0] == "OBJ.PUT" && fail_writes ? std::string("-ERR failed\r\n")
+                                                        : RespNode::served("a");
         },
         serving("b"));
     installation.move("b");
     installation.move("a");
-    lose = true;
+    fail_writes = true;
     const auto write = [&](const std::string &key) {
         return resp::command(
             {"OBJ.PUT", kPiece, fresh_id(),
@@ -212,22 +215,23 @@
     };
     const std::string key = "5c0f6e1a2b3d4c59";
     assert(request(*installation.broker_a, write(key)).starts_with("ERR"));
-    lose = false;
-    const std::size_t seen_b = installation.node_b.taken().size();
+    fail_writes = false;
+    const std::size_t requests_at_b = installation.node_b.taken().size();
     assert(installation.cells("POST", "move", kVolume + " b").first == 200);
-    // It may wait for the migration, and comes back here. A wait of over 0.3 of its time is refused, and the
-    // client may come again with the same key.
+    // The repeat may have to wait for the migration, and is then routed back to this broker. It is rejected
+    // if it has waited for 0.3 of its timeout; the client may then retry with the same key.
     std::string answer = "BUSY";
     for (int n = 0; n < 20 && answer.starts_with("BUSY"); ++n)
         answer = request(*installation.broker_a, write(key));
     assert(answer == "a");
     installation.await_no_migration();
     assert(request(*installation.broker_b, write(key)) == "a");
-    assert(installation.node_b.taken().size() == seen_b);
+    assert(installation.node_b.taken().size() == requests_at_b);
     assert(request(*installation.broker_b, write("ffffffffffffffff")) == "b");
 }
 
-// A broker that starts without a coordinator serves by the map on its disk; one without a file rejects.
+// A broker that starts without a coordinator serves according to the map in its state file. Without that file
+// it rejects requests.
 void a_broker_starts_without_the_coordinator() {
     Installation installation(serving("a"), serving("b"));
     installation.move("b");
@@ -235,7 +239,7 @@
     installation.broker_b.reset();
     installation.start_b();
     for (int n = 0; request(*installation.broker_b, get(kPiece)) != "b";
-         ++n) { // it may not know its node yet
+         ++n) { // the broker may not have discovered its node yet
         assert(n < 1000);
         std::this_thread::sleep_for(10ms);
     }
@@ -243,20 +247,20 @@
     std::filesystem::remove(installation.folder / "n-b.cells");
     installation.start_b();
     assert(request(*installation.broker_b, get(kPiece)).starts_with("BUSY"));
-    assert(
-        request(*installation.broker_a, get(kPiece)).starts_with("BUSY")); // forwarded there, and no further
+    assert(request(*installation.broker_a, get(kPiece))
+               .starts_with("BUSY")); // forwarded to broker b, which rejects it
 }
 
-// Brokers in cells watch the endpoint list.
+// Brokers in cells watch the endpoint list at discovery.
 void a_broker_in_a_cell_watches_the_endpoint_list() {
     Installation installation(serving("a"), serving("b"));
-    installation.discovery.await_taken(2); // a watch of each
+    installation.discovery.await_taken(2); // one watch per broker
 }
 
-// SIGHUP: a wrong file changes nothing; another capacity is published to all brokers.
+// On SIGHUP, the coordinator rejects a malformed file without any change, and applies a changed capacity.
 void the_layout_is_reloaded() {
     Installation installation(serving("a"), serving("b"));
-    const auto said = [&](const std::string &words) {
+    const auto log_contains = [&](const std::string &words) {
         for (int n = 0; n < 1000; ++n, std::this_thread::sleep_for(10ms)) {
             std::ostringstream text;
             text << std::ifstream(installation.folder / "keeper.log").rdbuf();
@@ -269,15 +273,15 @@
     changed.replace(changed.find("\"capacity\":1000"), 15, "\"capacity\":2500");
     std::ofstream(installation.folder / "operator.json") << changed.substr(1);
     installation.coordinator.signal(SIGHUP);
-    assert(said("coordinator_layout_rejected reason=\"malformed JSON"));
+    assert(log_contains("coordinator_layout_rejected reason=\"malformed JSON"));
     std::ofstream(installation.folder / "operator.json") << changed;
     installation.coordinator.signal(SIGHUP);
-    assert(said("coordinator_layout_reloaded cells=2"));
+    assert(log_contains("coordinator_layout_reloaded cells=2"));
     assert(installation.cells("GET", "list").second.find("a capacity 2500") != std::string::npos);
     assert(request(*installation.broker_b, get(kPiece)) == "a");
 }
 
-// Random bytes on the links of coordinator and brokers.
+// Sends random bytes to the link ports of the coordinator and a broker.
 void malformed_bytes_end_only_their_connection() {
     Installation installation(serving("a"), serving("b"));
     std::mt19937_64 random(7);
@@ -288,8 +292,7 @@
             for (char &c : bytes)
                 c = static_cast<char>(random());
             if (n % 3)
-                bytes.insert(0,
-                             {'\0', '\0', '\0', static_cast<char>(bytes.size())}); // a frame, by its length
+                bytes.insert(0, {'\0', '\0', '\0', static_cast<char>(bytes.size())}); // a valid length prefix
             caller.send(bytes);
             if (n % 2)
                 caller.shut();
@@ -303,12 +306,12 @@
     assert(request(*installation.broker_a, get(kPiece)) == "b");
 }
 
-// A wrong layout is reported with field and line, and nothing starts.
+// An invalid layout is reported with field and line, and the coordinator does not start.
 void a_wrong_layout_names_the_field() {
     const std::filesystem::path folder =
         std::filesystem::temp_directory_path() / fmt::format("marblewood-{}", ::getpid());
     std::filesystem::create_directories(folder);
-    const auto says = [&](const std::string &cells) {
+    const auto startup_error = [&](const std::string &cells) {
         std::ofstream(folder / "operator.json") << cells;
         Child coordinator;
         std::filesystem::remove(folder / "log");
@@ -321,19 +324,20 @@
     const std::string head =
         "{\"cells\": {\"keeper\": {\"link\": \"127.0.0.1:1\", \"control\": \"127.0.0.1:2\"},\n";
     const std::string broker = R"({"name": "x", "clients": "127.0.0.1:3", "link": "127.0.0.1:4"})";
-    assert(says("{}").find("missing field 'cells'") != std::string::npos);
-    assert(says(head + "\"cells\": []}}").find("line 2: field 'cells.cells'") != std::string::npos);
+    assert(startup_error("{}").find("missing field 'cells'") != std::string::npos);
+    assert(startup_error(head + "\"cells\": []}}").find("line 2: field 'cells.cells'") != std::string::npos);
     const std::string negative =
-        says(head + "\"cells\": [\n{\"name\": \"a\",\n\"capacity\": -1, \"brokers\": [" + broker +
-             "], \"nodes\": []}]}}");
+        startup_error(head + "\"cells\": [\n{\"name\": \"a\",\n\"capacity\": -1, \"brokers\": [" + broker +
+                      "], \"nodes\": []}]}}");
     assert(negative.find("line 4: field 'cells.cells[0].capacity'") != std::string::npos);
-    assert(says(head + "\"unknown\": 1, \"cells\": [{\"name\": \"a\", \"capacity\": 1, \"brokers\": [" +
-                broker + "], \"nodes\": []}]}}")
+    assert(startup_error(head +
+                         "\"unknown\": 1, \"cells\": [{\"name\": \"a\", \"capacity\": 1, \"brokers\": [" +
+                         broker + "], \"nodes\": []}]}}")
                .find("'unknown'") != std::string::npos);
-    assert(says(head + "\"cells\": [{\"name\": \"a\", \"capacity\": 1, \"brokers\": [" + broker +
-                "], \"nodes\": [\"s\"]},"
-                "{\"name\": \"b\", \"capacity\": 1, \"brokers\": [" +
-                broker + "], \"nodes\": []}]}}")
+    assert(startup_error(head + "\"cells\": [{\"name\": \"a\", \"capacity\": 1, \"brokers\": [" + broker +
+                         "], \"nodes\": [\"s\"]},"
+                         "{\"name\": \"b\", \"capacity\": 1, \"brokers\": [" +
+                         broker + "], \"nodes\": []}]}}")
                .find("broker 'x' stands in more than one place") != std::string::npos);
     std::filesystem::remove_all(folder);
 }
--- a/tests/cells_samples.hpp
+++ b/tests/cells_samples.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// One sample of every message and state of the cells' link, with a distinct value in every field: what the
-/// files under tests/fixtures/cells/ were written from.
+/// Samples of every message and state that net/link encodes, with a distinct value in every field. The files
+/// under tests/fixtures/cells/ were written from them.
 #pragma once
 
 #include "net/link/codec.hpp"
@@ -36,7 +36,7 @@
     return {{VolumeId{0x3b4d60021}, {40, 0x99}, "a", "b", "b1"}, {VolumeId{9}, {39, 0x98}, "b", "a", "a2"}};
 }
 
-/// Every message with the name of its line in messages.hex, in the order of that file.
+/// Samples of every message, with the names and in the order of the lines in messages.hex.
 inline std::vector<std::pair<std::string, link::Frame>> sample_frames() {
     const VolumeId volume{0x3b4d60021};
     const Epoch migration{40, 0x99};
