--- a/tests/cells_net_test.cpp
+++ b/tests/cells_net_test.cpp
@@ -69,7 +69,7 @@
     }
     std::pair<int, std::string> cells(const std::string &method, const std::string &what,
                                       const std::string &body = "") const {
-        return operators_call(control, method, "cells/" + what, body);
+        return admin_call(control, method, "cells/" + what, body);
     }
     std::string where() const { return cells("GET", "where/" + kVolume).second; }
     // Until the coordinator has heard from both brokers that their node is ready.
--- a/tests/closing_test.cpp
+++ b/tests/closing_test.cpp
@@ -131,7 +131,7 @@
     const Discovery discovery(member("s-1", node.server.port, 0));
     const Program program(discovery);
     // Through a network that is slow and cuts what it carries into pieces.
-    FaultProxy proxy(program.port, {.late = 20ms, .most_piece = 50});
+    FaultProxy proxy(program.port, {.delay = 20ms, .max_chunk_bytes = 50});
     const PipeliningClient client(proxy.port(), 30ms, 4000);
     await_answers(client, 5);
     const auto called = quiesce(program);
--- a/tests/control_format_test.cpp
+++ b/tests/control_format_test.cpp
@@ -114,7 +114,7 @@
     const auto calls = calls_of_a_watch(2);
     for (std::size_t n = 0; n < calls.size(); ++n) {
         std::string call = calls[n];
-        const int wait_ms = number_behind(call, "timeout_ms=", -1);
+        const int wait_ms = number_after(call, "timeout_ms=", -1);
         assert(wait_ms >= 2200 && wait_ms <= 3200);
         const std::string wait = std::to_string(wait_ms);
         call.replace(call.find(wait, call.find("timeout_ms=")), wait.size(), "WAIT");
--- a/tests/distribute_test.cpp
+++ b/tests/distribute_test.cpp
@@ -42,11 +42,11 @@
     }
     void start() {
         child.start({"distribute", folder_.file("distributor.json")}, folder_.file("log"), folder_.path(), 0);
-        for (int n = 0; n < 500 && operators_call(control, "GET", "health").first != 200; ++n)
+        for (int n = 0; n < 500 && admin_call(control, "GET", "health").first != 200; ++n)
             std::this_thread::sleep_for(10ms);
     }
     long figure(const std::string &name) const { // behind `distribution.`
-        const auto [status, body] = operators_call(control, "GET", "stats");
+        const auto [status, body] = admin_call(control, "GET", "stats");
         assert(status == 200);
         const std::size_t at = body.find("distribution." + name + ":");
         assert(at != std::string::npos);
@@ -90,7 +90,7 @@
     while (caller.in.find("\r\n\r\n") == std::string::npos)
         assert(caller.more());
     const std::size_t body = caller.in.find("\r\n\r\n") + 4;
-    const auto length = static_cast<std::size_t>(number_behind(caller.in, "Content-Length: ", -1));
+    const auto length = static_cast<std::size_t>(number_after(caller.in, "Content-Length: ", -1));
     while (caller.in.size() < body + length)
         assert(caller.more());
     return {std::atoi(caller.in.c_str() + 9), caller.in.substr(body)};
@@ -170,10 +170,10 @@
                 const std::size_t at = head->find("applied=");
                 applied = at == std::string::npos ? "" : head->substr(at + 8, 1);
             }
-            if (number_behind(*head, "since=", -1) == version)
+            if (number_after(*head, "since=", -1) == version)
                 std::this_thread::sleep_for(50ms);
-            s.send(number_behind(*head, "since=", -1) == version ? spell(answer_of(version, "", false))
-                                                                 : spell(document()));
+            s.send(number_after(*head, "since=", -1) == version ? spell(answer_of(version, "", false))
+                                                                : spell(document()));
         }
     });
     const std::string operators =
--- a/tests/faults/fault_proxy.hpp
+++ b/tests/faults/fault_proxy.hpp
@@ -9,8 +9,8 @@
 
 /// How a proxy forwards bytes, in both directions.
 struct ProxyFaults {
-    std::chrono::milliseconds late = 0ms; ///< delay before data read in one call is forwarded
-    std::size_t most_piece = 65'536;      ///< the largest number of bytes sent in one call
+    std::chrono::milliseconds delay = 0ms; ///< delay before data read in one call is forwarded
+    std::size_t max_chunk_bytes = 65'536;  ///< the largest number of bytes sent in one call
 };
 
 /// Forwards each connection to a port of the loopback address, with the given faults. When one side ends its
@@ -29,9 +29,9 @@
 private:
     void forward(Socket &from, Socket &to) const {
         while (from.in.size() > 0 || from.more(600'000)) {
-            std::this_thread::sleep_for(faults_.late);
+            std::this_thread::sleep_for(faults_.delay);
             while (!from.in.empty()) {
-                const std::string chunk = from.in.substr(0, faults_.most_piece);
+                const std::string chunk = from.in.substr(0, faults_.max_chunk_bytes);
                 from.in.erase(0, chunk.size());
                 if (!to.send(chunk))
                     break;
--- a/tests/helper.hpp
+++ b/tests/helper.hpp
@@ -208,7 +208,7 @@
     return head;
 }
 /// The number that follows `name` in `head`; `fallback` if `name` does not occur.
-inline int number_behind(const std::string &head, const char *name, int fallback) {
+inline int number_after(const std::string &head, const char *name, int fallback) {
     const std::size_t at = head.find(name);
     return at == std::string::npos ? fallback : std::atoi(head.c_str() + at + std::strlen(name));
 }
@@ -248,7 +248,7 @@
     std::string known() const { return answer(1, members_); }
     int port() const { return server_.port; }
     std::atomic<int> calls = 0, failures = 0; ///< `failures`: how many of the next calls fail with 503
-    std::atomic<int> wholes = 0;              ///< calls for the full list
+    std::atomic<int> full_list_calls = 0;     ///< calls for the full list
 
 private:
     static std::string answer(int revision, const std::string &members, bool complete = true) {
@@ -262,11 +262,11 @@
                 s.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            const int known_revision = number_behind(*head, "since=", -1);
+            const int known_revision = number_after(*head, "since=", -1);
             if (known_revision < 0)
-                ++wholes;
+                ++full_list_calls;
             const auto deadline =
-                std::chrono::steady_clock::now() + number_behind(*head, "timeout_ms=", 0) * 1ms;
+                std::chrono::steady_clock::now() + number_after(*head, "timeout_ms=", 0) * 1ms;
             std::unique_lock lock(mutex_);
             if (known_revision == revision_)
                 up_to_date_.insert(&s);
@@ -363,7 +363,7 @@
 
 /// kSettings with a latency target of 5 s and a hard limit of 8 s for reads, so that a retry is still on time
 /// after the test machine has stalled: the broker holds back late work (policy/admission.hpp).
-inline std::string settings_with_patient_reads() {
+inline std::string settings_with_relaxed_reads() {
     std::string settings = kSettings;
     const auto replace = [&](const std::string &from, const std::string &to) {
         assert(settings.find(from) != std::string::npos);
@@ -374,7 +374,7 @@
     return settings;
 }
 /// The time for which a client of these settings waits for a read, in ms.
-inline constexpr int kPatientWait = 8000;
+inline constexpr int kRelaxedReadWaitMs = 8000;
 
 /// A process of the program whose stderr goes to a file. The destructor kills the process.
 class Child {
@@ -425,8 +425,8 @@
 
 /// Calls the admin endpoint at `port`; returns the HTTP status and the body, or status 0 if the connection is
 /// refused or ends without an answer.
-inline std::pair<int, std::string> operators_call(int port, const std::string &method,
-                                                  const std::string &path, const std::string &body = "") {
+inline std::pair<int, std::string> admin_call(int port, const std::string &method, const std::string &path,
+                                              const std::string &body = "") {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     const sockaddr_in address = local(port);
     Socket caller(fd);
@@ -538,7 +538,7 @@
     /// Makes an admin call; returns the HTTP status and the body.
     std::pair<int, std::string> call(const std::string &method, const std::string &path,
                                      const std::string &body = "") const {
-        const auto reply = operators_call(control, method, path, body);
+        const auto reply = admin_call(control, method, path, body);
         assert(reply.first != 0);
         return reply;
     }
--- a/tests/long_test.cpp
+++ b/tests/long_test.cpp
@@ -128,9 +128,9 @@
     RespNode node(
         [](const auto &, int nth) { return nth == 1 ? "*3\r\n$3000000000\r\nvvv" : RespNode::served("v"); });
     const Discovery discovery(member("s-1", node.server.port, 0));
-    const Program program(discovery, "", settings_with_patient_reads());
+    const Program program(discovery, "", settings_with_relaxed_reads());
     Socket client = program.client();
-    client.send(get(kPiece, 0, kPatientWait));
+    client.send(get(kPiece, 0, kRelaxedReadWaitMs));
     assert(client.value()->text == "v");
 }
 
--- a/tests/otlp_test.cpp
+++ b/tests/otlp_test.cpp
@@ -63,9 +63,9 @@
         discovery,
         fmt::format(R"({{"planners":3,"otlp":{{"endpoint":"127.0.0.1:{}","interval_ms":50}}}})",
                     collector.server.port),
-        settings_with_patient_reads());
+        settings_with_relaxed_reads());
     Socket client = program.client();
-    client.send(get("0000000000000001", 0, kPatientWait));
+    client.send(get("0000000000000001", 0, kRelaxedReadWaitMs));
     assert(client.value()->text == "v");
     std::map<std::string, std::vector<Json::Value>> spans;
     while ((spans = spans_by_name(collector))["attempt"].size() < 2 || spans["request"].empty())
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -290,13 +290,13 @@
     assert(client.value()->text == "second" && node.taken().size() == 1);
 
     // A file that is wrong in any part is not taken, and the log names the field.
-    const int wholes = after.wholes;
+    const int wholes = after.full_list_calls;
     program.write("config.json", R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1",)"
                                  R"("settings":{"instances":"many"}})");
     program.signal(SIGHUP);
     program.await_log("config_reload_failed error=\"field 'instances'");
     client.send(get(kPiece, 1));
-    assert(client.value()->text == "second" && after.wholes == wholes && program.running());
+    assert(client.value()->text == "second" && after.full_list_calls == wholes && program.running());
 }
 
 // Guards against clients that hold connections and parts of messages: each gets an error or an end in time,
--- a/tests/shutdown_soak.cpp
+++ b/tests/shutdown_soak.cpp
@@ -122,8 +122,7 @@
         add(from + draw.between(20, 150), [&program] { program.signal(SIGCONT); });
     }
     if (draw.one_in(5))
-        add(draw.between(-1500, kill_ms / 2),
-            [&program] { operators_call(program.control, "POST", "quiesce"); });
+        add(draw.between(-1500, kill_ms / 2), [&program] { admin_call(program.control, "POST", "quiesce"); });
     std::ranges::stable_sort(events, {}, &Event::at);
     return events;
 }
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -45,7 +45,7 @@
 private:
     void serve(Socket &s) {
         while (const auto head = next_head(s)) {
-            Call call{0, number_behind(*head, "since=", -1), number_behind(*head, "timeout_ms=", 0),
+            Call call{0, number_after(*head, "since=", -1), number_after(*head, "timeout_ms=", 0),
                       Clock::now(), &s};
             {
                 const std::lock_guard lock(mutex_);
