--- a/tests/cell_migrations_test.cpp
+++ b/tests/cell_migrations_test.cpp
@@ -23,91 +23,85 @@
     std::size_t seen_states = 0, checked_ends = 0;
     std::unordered_set<std::size_t> seen = {};
 
-    std::string explore(CellCluster cluster, const std::string &path, int drops_left, int duplicates_left,
-                        int waits_left, int restarts_left, bool request_open, bool second_operator_left) {
-        const std::size_t state_hash = std::hash<std::string>()(
-            cluster.fingerprint() + fmt::format("|{}{}{}{}{}{}", drops_left, duplicates_left, waits_left,
-                                                restarts_left, request_open, second_operator_left));
-        if (!seen.insert(state_hash).second || seen.size() > max_states)
+    // d, u, w and k are the remaining drops, duplicates, waits and restarts. `open` is whether the request at
+    // a1 is still open, `rivals` whether the second operator has yet to act.
+    std::string explore(CellCluster cluster, const std::string &path, int d, int u, int w, int k, bool open,
+                        bool rivals) {
+        const std::size_t print = std::hash<std::string>()(
+            cluster.fingerprint() + fmt::format("|{}{}{}{}{}{}", d, u, w, k, open, rivals));
+        if (!seen.insert(print).second || seen.size() > max_states)
             return {};
         ++seen_states;
         if (const auto why = cluster.violation())
             return path + ": " + *why;
-        if (state_hash % 16 == 0) {
+        if (print % 16 == 0) {
             ++checked_ends;
             CellCluster end = cluster;
-            if (request_open)
+            if (open)
                 end.end("a1", false, 9);
             if (const auto why = end.violation_at_end())
                 return path + ", then without further faults: " + *why;
         }
-        const auto explore_after = [&](const std::string &step, auto change, int next_drops,
-                                       int next_duplicates, int next_waits, int next_restarts,
-                                       bool next_request_open, bool next_second_operator) {
+        const auto go = [&](const std::string &step, auto change, int dd, int uu, int ww, int kk, bool oo,
+                            bool rr) {
             CellCluster next = cluster;
             change(next);
-            return explore(std::move(next), path + " " + step, next_drops, next_duplicates, next_waits,
-                           next_restarts, next_request_open, next_second_operator);
+            return explore(std::move(next), path + " " + step, dd, uu, ww, kk, oo, rr);
         };
-        std::set<std::string> tried; // equal messages are tried only once
+        std::set<std::string> same; // equal messages are tried only once
         for (std::size_t n = 0; n < cluster.in_flight.size(); ++n) {
             const CellCluster::InFlight &f = cluster.in_flight[n];
-            if (!tried.insert(f.to + net::link::encode(net::link::Frame{f.from, f.message})).second)
+            if (!same.insert(f.to + net::link::encode(net::link::Frame{f.from, f.message})).second)
                 continue;
             const std::string name =
                 fmt::format("{}>{}:{}{}", f.from, f.to, f.message.index(),
                             std::holds_alternative<MigrationStep>(f.message)
                                 ? static_cast<int>(std::get<MigrationStep>(f.message).kind)
                                 : 0);
-            if (auto failure = explore_after(
-                    name, [&](CellCluster &x) { x.deliver(n); }, drops_left, duplicates_left, waits_left,
-                    restarts_left, request_open, second_operator_left);
-                !failure.empty())
-                return failure;
-            if (drops_left > 0)
-                if (auto failure = explore_after(
+            if (auto bad = go(
+                    name, [&](CellCluster &x) { x.deliver(n); }, d, u, w, k, open, rivals);
+                !bad.empty())
+                return bad;
+            if (d > 0)
+                if (auto bad = go(
                         "lose " + name,
                         [&](CellCluster &x) {
                             x.in_flight.erase(x.in_flight.begin() + static_cast<std::ptrdiff_t>(n));
                         },
-                        drops_left - 1, duplicates_left, waits_left, restarts_left, request_open,
-                        second_operator_left);
-                    !failure.empty())
-                    return failure;
-            if (duplicates_left > 0)
-                if (auto failure = explore_after(
-                        "twice " + name, [&](CellCluster &x) { x.deliver(n, true); }, drops_left,
-                        duplicates_left - 1, waits_left, restarts_left, request_open, second_operator_left);
-                    !failure.empty())
-                    return failure;
+                        d - 1, u, w, k, open, rivals);
+                    !bad.empty())
+                    return bad;
+            if (u > 0)
+                if (auto bad = go(
+                        "twice " + name, [&](CellCluster &x) { x.deliver(n, true); }, d, u - 1, w, k, open,
+                        rivals);
+                    !bad.empty())
+                    return bad;
         }
-        if (request_open)
-            if (auto failure = explore_after(
-                    "end", [](CellCluster &x) { x.end("a1", false, 9); }, drops_left, duplicates_left,
-                    waits_left, restarts_left, false, second_operator_left);
-                !failure.empty())
-                return failure;
-        if (waits_left > 0)
-            if (auto failure = explore_after(
-                    "wait", [](CellCluster &x) { x.tick(CellCluster::kBeyondStepTimeout); }, drops_left,
-                    duplicates_left, waits_left - 1, restarts_left, request_open, second_operator_left);
-                !failure.empty())
-                return failure;
-        if (second_operator_left)
-            if (auto failure = explore_after(
-                    "second operator", [](CellCluster &x) { x.move("a"); }, drops_left, duplicates_left,
-                    waits_left, restarts_left, request_open, false);
-                !failure.empty())
-                return failure;
-        if (restarts_left > 0)
+        if (open)
+            if (auto bad = go(
+                    "end", [](CellCluster &x) { x.end("a1", false, 9); }, d, u, w, k, false, rivals);
+                !bad.empty())
+                return bad;
+        if (w > 0)
+            if (auto bad = go(
+                    "wait", [](CellCluster &x) { x.tick(CellCluster::kBeyondStepTimeout); }, d, u, w - 1, k,
+                    open, rivals);
+                !bad.empty())
+                return bad;
+        if (rivals)
+            if (auto bad = go(
+                    "second operator", [](CellCluster &x) { x.move("a"); }, d, u, w, k, open, false);
+                !bad.empty())
+                return bad;
+        if (k > 0)
             for (const std::string who : {"", "a1", "b1"}) {
-                const bool ends_open_request = who == "a1";
-                if (auto failure = explore_after(
-                        "restart " + who, [&](CellCluster &x) { x.restart(who, disks); }, drops_left,
-                        duplicates_left, waits_left, restarts_left - 1, request_open && !ends_open_request,
-                        second_operator_left);
-                    !failure.empty())
-                    return failure;
+                const bool gone = who == "a1"; // its open request ends
+                if (auto bad = go(
+                        "restart " + who, [&](CellCluster &x) { x.restart(who, disks); }, d, u, w, k - 1,
+                        open && !gone, rivals);
+                    !bad.empty())
+                    return bad;
             }
         return {};
     }
