--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -292,13 +292,13 @@
     assert(client.value()->text == "second" && node.taken().size() == 1);
 
     // A file with any error is rejected as a whole, and the log names the field.
-    const int full_list_calls = after.full_list_calls;
+    const int calls_before = after.full_list_calls;
     program.write("config.json", R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1",)"
                                  R"("settings":{"instances":"many"}})");
     program.signal(SIGHUP);
     program.await_log("config_reload_failed error=\"field 'instances'");
     client.send(get(kPiece, 1));
-    assert(client.value()->text == "second" && after.full_list_calls == wholes && program.running());
+    assert(client.value()->text == "second" && after.full_list_calls == calls_before && program.running());
 }
 
 // Guards against clients that keep connections idle or with partial messages: each gets an error or is closed
