--- a/src/lab/helpers.hpp
+++ b/src/lab/helpers.hpp
@@ -21,7 +21,7 @@
 
 /// Returns an independent random generator per purpose and number, so that draws for one purpose do not
 /// change those for another.
-inline std::mt19937_64 stream(std::uint64_t seed, std::uint32_t purpose, std::uint32_t number = 0) {
+inline std::mt19937_64 random_stream(std::uint64_t seed, std::uint32_t purpose, std::uint32_t number = 0) {
     std::seed_seq seeds{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32), purpose,
                         number};
     return std::mt19937_64(seeds);
--- a/src/lab/lists.cpp
+++ b/src/lab/lists.cpp
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> rest(asio::io_context &io, Micros length) {
+asio::awaitable<void> sleep_for(asio::io_context &io, Micros length) {
     asio::steady_timer timer(io, std::chrono::microseconds(std::max<Micros>(length, 0)));
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -66,9 +66,9 @@
 
 asio::awaitable<void> EmulatedDiscovery::push(Agent &agent, Micros at, int version, std::string members,
                                               std::function<void()> on_delivered) {
-    co_await rest(io_, at - deadlines_.clock.now());
+    co_await sleep_for(io_, at - deadlines_.clock.now());
     while (deadlines_.clock.now() < suspended_until_)
-        co_await rest(io_, suspended_until_ - deadlines_.clock.now());
+        co_await sleep_for(io_, suspended_until_ - deadlines_.clock.now());
     if (version > agent.version)
         agent.version = version, agent.members = std::move(members);
     on_delivered();
@@ -102,7 +102,7 @@
                              std::clamp<Micros>(number("timeout_ms=", 0) * 1000LL, 0, kMaxWatchTimeout);
         while (deadlines_.clock.now() < suspended_until_ ||
                (agent.version <= seen && deadlines_.clock.now() < until))
-            co_await rest(io_, kPollInterval);
+            co_await sleep_for(io_, kPollInterval);
         const std::string body =
             fmt::format(R"({{"revision":{},"complete":true,"members":[{}]}})", agent.version, agent.members);
         const std::string out =
--- a/src/lab/lists.hpp
+++ b/src/lab/lists.hpp
@@ -15,7 +15,7 @@
 
 namespace marblewood::lab {
 
-boost::asio::awaitable<void> rest(boost::asio::io_context &io, Micros length);
+boost::asio::awaitable<void> sleep_for(boost::asio::io_context &io, Micros length);
 
 /// Serves the endpoint list over HTTP long polling, one agent (with its own port and copy of the list) per
 /// broker.
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -66,7 +66,7 @@
 }
 asio::awaitable<void> DatagramRelay::deliver(int from, int to, std::string data, Micros delay) {
     if (delay > 0)
-        co_await rest(io_, delay);
+        co_await sleep_for(io_, delay);
     boost::system::error_code ignored;
     sockets_.at({to, from})
         .send_to(asio::buffer(data), loopback_endpoint<udp>(listen_ports_[static_cast<std::size_t>(to)]), 0,
@@ -107,7 +107,7 @@
 }
 asio::awaitable<void> StreamRelay::serve(std::shared_ptr<Pair> pair) {
     while (silent_())
-        co_await rest(io_, kSilenceCheckInterval);
+        co_await sleep_for(io_, kSilenceCheckInterval);
     const auto error = co_await net::dial(pair->node, loopback_endpoint<tcp>(target_),
                                           deadlines_.clock.now() + 1'000'000, deadlines_);
     if (error)
@@ -122,7 +122,7 @@
     for (;;) {
         boost::system::error_code error = co_await net::read_more(from, data);
         while (silent_() && from.is_open())
-            co_await rest(io_, kSilenceCheckInterval);
+            co_await sleep_for(io_, kSilenceCheckInterval);
         if (!error)
             co_await asio::async_write(to, asio::buffer(data),
                                        asio::redirect_error(asio::use_awaitable, error));
--- a/src/lab/scale/client_load.cpp
+++ b/src/lab/scale/client_load.cpp
@@ -68,10 +68,10 @@
         while (!co_await connect()) {
             if (clock_.now() > until)
                 throw std::runtime_error("the broker does not come up");
-            co_await rest(io_, kLook);
+            co_await sleep_for(io_, kLook);
         }
         sockets_.clear();
-        co_await rest(io_, kSettle);
+        co_await sleep_for(io_, kSettle);
         const ProcessUsage before = usage_of(broker_.pid);
         if (kind_ == ClientLoad::Connections)
             co_await hold_connections();
--- a/src/lab/scale/fleet_run.cpp
+++ b/src/lab/scale/fleet_run.cpp
@@ -138,7 +138,7 @@
         co_return;
     const Micros gap = micros(1 / per_second);
     for (Micros next = clock_.now() + gap / 2; next < until; next += gap) {
-        co_await rest(io_, next - clock_.now());
+        co_await sleep_for(io_, next - clock_.now());
         publish_document();
     }
 }
@@ -164,7 +164,7 @@
         if (!host.late)
             start(host);
     co_await await_brokers(brokers_up());
-    co_await rest(io_, kSettle);
+    co_await sleep_for(io_, kSettle);
     const Micros begin = clock_.now();
     for (const Event &event : plan_.events)
         asio::co_spawn(io_, this->event(event), [this](const std::exception_ptr &error) {
@@ -175,7 +175,7 @@
         co_await this->phase(phase);
     figures_["seconds"] = static_cast<double>(clock_.now() - begin) / 1e6;
     if (!plan_.events.empty() || size_.documents)
-        co_await rest(io_, kQuiet);
+        co_await sleep_for(io_, kQuiet);
     for (DistributorHost &distributor : layout_.distributors)
         co_await ask(distributor);
     stop_hosts();
@@ -192,7 +192,7 @@
                 break;
             if (clock_.now() > until)
                 throw std::runtime_error(distributor.entry.name + " does not come up");
-            co_await rest(io_, kLook);
+            co_await sleep_for(io_, kLook);
         }
 }
 
@@ -201,7 +201,7 @@
     while (co_await callers() < count) {
         if (clock_.now() > until)
             throw std::runtime_error(fmt::format("not all of {} brokers come up", count));
-        co_await rest(io_, kLook);
+        co_await sleep_for(io_, kLook);
     }
 }
 
@@ -247,27 +247,27 @@
     const Micros gap = per_second > 0 ? micros(1 / per_second) : 0;
     Micros next = clock_.now() + gap / 2;
     while (gap > 0 && next < until) {
-        co_await rest(io_, next - clock_.now());
+        co_await sleep_for(io_, next - clock_.now());
         source_.change_one();
         next += gap;
     }
-    co_await rest(io_, until - clock_.now());
+    co_await sleep_for(io_, until - clock_.now());
 }
 
 asio::awaitable<void> FleetRun::event(Event event) {
     using Kind = Event::Kind;
-    co_await rest(io_, micros(event.at));
+    co_await sleep_for(io_, micros(event.at));
     const auto number = static_cast<std::size_t>(event.index);
     switch (event.kind) {
     case Kind::KillDistributor:
         layout_.distributors[number].cpu_before_s += usage_of(layout_.distributors[number].process.pid).cpu_s;
         layout_.distributors[number].process.kill();
-        co_await rest(io_, micros(event.length));
+        co_await sleep_for(io_, micros(event.length));
         layout_.distributors[number].process.start();
         break;
     case Kind::PauseDistributor:
         layout_.distributors[number].process.signal(SIGSTOP);
-        co_await rest(io_, micros(event.length));
+        co_await sleep_for(io_, micros(event.length));
         layout_.distributors[number].process.signal(SIGCONT);
         break;
     case Kind::StartZone:
@@ -277,7 +277,7 @@
         break;
     case Kind::RemoveNodes:
         source_.remove(event.count, event.name);
-        co_await rest(io_, micros(event.length));
+        co_await sleep_for(io_, micros(event.length));
         source_.bring_back(event.name);
         break;
     case Kind::CutRegion:
--- a/src/lab/scale/list_source.cpp
+++ b/src/lab/scale/list_source.cpp
@@ -27,7 +27,7 @@
 
 ListSource::ListSource(asio::io_context &io, core::Deadlines &deadlines, const FleetSize &size,
                        std::uint64_t seed)
-    : deadlines_(deadlines), random_(stream(seed, 20)),
+    : deadlines_(deadlines), random_(random_stream(seed, 20)),
       server_(io, deadlines, any_port(io, port_), {{kUnbounded, kUnbounded}, kMostRemoved, kMostCallers}) {
     for (int n = 0; n < size.nodes; ++n) {
         const std::string id = fmt::format("s-{:08x}", static_cast<std::uint32_t>(random_()));
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -19,7 +19,7 @@
 Testbed::Testbed(const Experiment &experiment, std::uint64_t seed, std::filesystem::path folder,
                  EnabledParts parts)
     : experiment_(experiment), settings_(config::read_settings(experiment.settings, 0)), seed_(seed),
-      folder_(std::move(folder)), parts_(parts), network_faults_(stream(seed, 7)()) {
+      folder_(std::move(folder)), parts_(parts), network_faults_(random_stream(seed, 7)()) {
     std::filesystem::create_directories(folder_ / "state");
     for (const auto &file : std::filesystem::directory_iterator(folder_ / "state"))
         std::filesystem::remove(file);
@@ -73,7 +73,7 @@
 // Waits until every broker answers and the cell coordinator reports all nodes of all cells as ready.
 asio::awaitable<bool> Testbed::wait_until_ready() {
     for (int n = 0; n < 300; ++n) {
-        co_await rest(50'000);
+        co_await sleep_for(50'000);
         const auto list = co_await call_coordinator("GET", "cells", "");
         if (!list || list->second.find("not settled") != std::string::npos)
             continue;
@@ -106,7 +106,7 @@
 }
 
 asio::awaitable<void> Testbed::start_move(double at, std::uint64_t random_bits) {
-    co_await rest(start_ + micros(at) - clock_.now());
+    co_await sleep_for(start_ + micros(at) - clock_.now());
     bool begun = false;
     const Micros until = clock_.now() + 15'000'000; // The coordinator may be down for a while.
     while (!begun && clock_.now() < until) {
@@ -116,7 +116,7 @@
         const auto reply = co_await call_coordinator("POST", "cells/move", volume.id_text + " " + to);
         begun = reply && reply->first == 200 && reply->second.find("begun") != std::string::npos;
         if (!reply || reply->second.starts_with("not yet"))
-            co_await rest(100'000);
+            co_await sleep_for(100'000);
         if (!begun)
             ++moves_refused_;
     }
@@ -154,7 +154,7 @@
         for (const Fault &f : experiment_.faults)
             ++pending_actions_, asio::co_spawn(io_, inject_fault(f), rethrow);
     if (parts_.moves) {
-        std::mt19937_64 random = stream(seed_, 5);
+        std::mt19937_64 random = random_stream(seed_, 5);
         for (int n = 0; n < experiment_.moves; ++n) {
             const double part = (n + 0.5) / experiment_.moves;
             const double at = experiment_.moves_from + part * (experiment_.moves_to - experiment_.moves_from);
@@ -165,13 +165,13 @@
     for (const PlannedRequest &planned : planned_requests_) {
         const Micros wait = start_ + planned.at - clock_.now();
         if (wait > 0)
-            co_await rest(wait);
+            co_await sleep_for(wait);
         late = std::max(late, clock_.now() - start_ - planned.at);
         ++open_requests_;
         asio::co_spawn(io_, run_request(planned), rethrow);
     }
     while (open_requests_ > 0 || pending_actions_ > 0)
-        co_await rest(20'000);
+        co_await sleep_for(20'000);
     metrics_ = oracle_->metrics();
     metrics_["lab.late_ms"] = static_cast<double>(late) / 1000;
     metrics_["moves.refused"] = moves_refused_;
@@ -210,7 +210,7 @@
     // Reads the coordinator's counters until no move is in progress; a move whose broker was killed may take
     // a while.
     for (int n = 0; n < 200; ++n) {
-        co_await rest(100'000);
+        co_await sleep_for(100'000);
         const auto stats = co_await call_coordinator("GET", "stats", "");
         if (!stats)
             continue;
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -77,7 +77,7 @@
     asio::awaitable<void> start_move(double at, std::uint64_t random_bits);
     asio::awaitable<std::optional<std::pair<int, std::string>>>
     call_coordinator(std::string method, std::string path, std::string body);
-    asio::awaitable<void> rest(Micros length) { return lab::rest(io_, length); }
+    asio::awaitable<void> sleep_for(Micros length) { return lab::sleep_for(io_, length); }
     asio::awaitable<void> save_move_counts();
     struct Reply {
         enum class Kind {
--- a/src/lab/world_clients.cpp
+++ b/src/lab/world_clients.cpp
@@ -139,7 +139,7 @@
         if (!served) {
             if (clock_.now() + wait >= deadline)
                 break;
-            co_await rest(wait);
+            co_await sleep_for(wait);
         }
     }
     oracle_->request_ended(clock_.now(), client_request, served);
--- a/src/lab/world_faults.cpp
+++ b/src/lab/world_faults.cpp
@@ -8,7 +8,7 @@
 namespace marblewood::lab {
 
 asio::awaitable<void> Testbed::inject_fault(Fault f) {
-    co_await rest(start_ + micros(f.at) - clock_.now());
+    co_await sleep_for(start_ + micros(f.at) - clock_.now());
     const auto broker = [&]() -> Broker & {
         return brokers_[static_cast<std::size_t>(f.cell * experiment_.brokers +
                                                  f.index % experiment_.brokers)];
@@ -20,30 +20,30 @@
     if (f.what == "kill-keeper") {
         co_await save_move_counts(); // The counters are lost with the process.
         coordinator_.kill();
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         coordinator_.start();
     } else if (f.what == "stop-keeper") {
         coordinator_.signal(SIGSTOP);
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         coordinator_.signal(SIGCONT);
     } else if (f.what == "stop-broker") {
         broker().stopped_at = clock_.now(), broker().resumed_at = INT64_MAX;
         broker().process.signal(SIGSTOP);
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         broker().process.signal(SIGCONT);
         broker().resumed_at = clock_.now();
     } else if (f.what == "restart-broker") {
         broker().killed_at = clock_.now();
         broker().process.kill();
         broker().idle_connections.clear();
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         broker().process.start();
         broker().killed_at = clock_.now();
     } else if (f.what == "drain-cell") {
         for (int n = 0; n < experiment_.nodes; ++n)
             node(n).drain(true);
         publish_member_lists();
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         for (int n = 0; n < experiment_.nodes; ++n) { // The nodes return to service cold.
             node(n).restart(0);
             node(n).drain(false);
@@ -53,12 +53,12 @@
             const auto reply = co_await call_coordinator("POST", "cells/restore", fmt::format("c{}", f.cell));
             if (reply && reply->first == 200)
                 break;
-            co_await rest(200'000);
+            co_await sleep_for(200'000);
         }
     } else if (f.what == "drain-node") {
         node(f.index).drain(true);
         publish_member_lists();
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         node(f.index).restart(0);
         node(f.index).drain(false);
         publish_member_lists();
@@ -82,7 +82,7 @@
         node(f.index).pause(micros(f.length));
     } else if (f.what == "slow-node") {
         node(f.index).set_slowdown(f.times);
-        co_await rest(micros(f.length));
+        co_await sleep_for(micros(f.length));
         node(f.index).set_slowdown(1);
     } else if (f.what == "restart-nodes") {
         for (int n = 0; n < experiment_.nodes; ++n)
--- a/src/lab/world_setup.cpp
+++ b/src/lab/world_setup.cpp
@@ -18,7 +18,7 @@
     discovery_.emplace(io_, deadlines_,
                        EmulatedDiscovery::Model{!settings_.poll_endpoint_list, micros(e.min_list_delay),
                                                 micros(e.max_list_delay)},
-                       static_cast<std::size_t>(e.cells * e.brokers), stream(seed_, 6)());
+                       static_cast<std::size_t>(e.cells * e.brokers), random_stream(seed_, 6)());
     for (int c = 0; c < e.cells; ++c) {
         cells::Cell cell{fmt::format("c{}", c), e.node.capacity() * e.nodes, {}, {}, false, false};
         for (int b = 0; b < e.brokers; ++b) {
@@ -45,7 +45,7 @@
                 keys_by_cell_[static_cast<std::size_t>(c)], settings_.classes[1].deduplication_window};
             nodes_.push_back(std::make_unique<EmulatedNode>(
                 io_, deadlines_, name, e.node, settings_.slow_start_window,
-                stream(seed_, 3, static_cast<std::uint32_t>(nodes_.size()))(), std::move(callbacks)));
+                random_stream(seed_, 3, static_cast<std::uint32_t>(nodes_.size()))(), std::move(callbacks)));
         }
         map_.cells.push_back(std::move(cell));
     }
@@ -77,7 +77,7 @@
     std::vector<double> regular_rate(static_cast<std::size_t>(e.cells));
     const auto arrivals = [&](int volume, double rate, double from, double to, double units, double writes,
                               bool surge) {
-        std::mt19937_64 random = stream(seed_, surge ? 2 : 1, static_cast<std::uint32_t>(volume));
+        std::mt19937_64 random = random_stream(seed_, surge ? 2 : 1, static_cast<std::uint32_t>(volume));
         boost::random::exponential_distribution<double> gap(rate);
         boost::random::uniform_int_distribution<int> size(1, std::max(1, static_cast<int>(2 * units) - 1)),
             piece(0, 999);
@@ -99,7 +99,7 @@
             planned_requests_.push_back(std::move(d));
         }
     };
-    std::mt19937_64 ids = stream(seed_, 0);
+    std::mt19937_64 ids = random_stream(seed_, 0);
     for (const VolumeKind &kind : e.volumes)
         for (int n = 0; n < kind.count; ++n, ++number) {
             Volume v;
@@ -169,7 +169,7 @@
         c["name"] = broker.name;
         c["listen"] = fmt::format("127.0.0.1:{}", broker.port);
         c["discovery"] = fmt::format("127.0.0.1:{}", discovery_->port(number));
-        c["seed"] = fmt::format("{:x}", stream(seed_, 4, static_cast<std::uint32_t>(broker.port))());
+        c["seed"] = fmt::format("{:x}", random_stream(seed_, 4, static_cast<std::uint32_t>(broker.port))());
         c["known"] = config::parse(R"({"revision":1,"complete":true,"members":[)" + member_list(number) +
                                    "]}"); // the endpoint list it starts with
         c["limits"]["sockets"] = 1024;
