--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -56,7 +56,9 @@
     // - move-surging: the volume of the first surge is moved to `cell`
     // - kill-keeper, stop-keeper: the cell coordinator is killed, or paused with SIGSTOP
     // - restart-broker, stop-broker: one broker is killed and started again, or paused with SIGSTOP
-    // - drain-cell, drain-node, restart-node, pause-node: as the names say
+    // - drain-cell, drain-node: all nodes of the cell, or one node, drain for `length` and then start cold
+    // - restart-node: one node closes its connections, rejects new ones for `length`, then starts cold
+    // - pause-node: one node does no work for `length`
     std::string what;
     int cell = 0, index = 0;
     std::set<int> from = {}, to = {}; // an empty set matches all
@@ -89,8 +91,9 @@
     std::vector<Fault> faults;
     int moves = 0;
     double moves_from = 0, moves_to = 0;
-    // What the baseline run leaves out: surges, faults, moves, talk. Without entries there is no baseline
-    // run.
+    // Parts left out of the baseline run, whose metrics the experiment is compared with: `surges`, `faults`,
+    // `moves` (of volumes to other cells) and `talk` (datagrams between brokers and the lending of rate
+    // limits between them). Without entries there is no baseline run.
     std::vector<std::string> without;
     std::vector<Check> checks;
     Json::Value settings; // of the brokers
--- a/src/lab/oracle.hpp
+++ b/src/lab/oracle.hpp
@@ -28,7 +28,8 @@
         return slack_ > 0 ? std::max(0.0, -min_tokens_) / slack_ : min_tokens_ < 0 ? 1e9 : 0;
     }
 
-    /// Units spent, as a fraction of what the rate alone (without the initial burst) provided so far.
+    /// All units spent, divided by the units that the plan's rate provided from the creation of the monitor
+    /// to the last spending. The initial burst is not in the divisor, so the result can exceed 1.
     double rate_utilization() const {
         return updated_at_ > created_at_
                    ? units_sum_ / (rate_ * static_cast<double>(updated_at_ - created_at_) / 1e6)
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -108,14 +108,15 @@
     std::optional<EmulatedDiscovery> discovery_;
     NetworkFaults network_faults_;
     std::optional<DatagramRelay> datagrams_;
-    std::vector<std::unique_ptr<StreamRelay>> streams_; // by broker and node; empty without a relay
+    // Relay of broker b to node n at index b * nodes_.size() + n; empty unless the experiment sets `relay`.
+    std::vector<std::unique_ptr<StreamRelay>> streams_;
     std::vector<std::map<std::string, Micros>> keys_by_cell_;
     std::vector<std::unique_ptr<EmulatedNode>> nodes_;
     std::vector<Volume> volumes_;
     std::unordered_map<std::uint64_t, int> volume_numbers_;
     std::vector<PlannedRequest> planned_requests_;
     std::unordered_set<std::string> charged_ids_; // ids of attempts that have reached a node
-    // Time of the client's first attempt, by the id of each attempt.
+    // Maps the id of every client attempt to the planned time of the first attempt of the same request.
     std::unordered_map<std::string, Micros> first_attempt_at_;
     std::optional<Oracle> oracle_;
     Micros start_ = 0;
