--- a/src/cells/cell_map.cpp
+++ b/src/cells/cell_map.cpp
@@ -51,6 +51,8 @@
     std::set<std::string> nodes;
 };
 
+/// Rejects a cell whose name is empty or already used by another cell, whose capacity is not a positive
+/// finite number, that has no broker, or that has a broker or node whose name is empty or already used.
 void validate_cell(const Cell &cell, SeenNames &seen) {
     if (cell.name.empty() || !seen.cells.insert(cell.name).second)
         reject("cell '" + cell.name + "' has no name of its own");
--- a/src/cells/coordinator_migrations.cpp
+++ b/src/cells/coordinator_migrations.cpp
@@ -207,7 +207,9 @@
         migration.arbiter,        {}};
     if (migration.stage == MigrationStage::Adopting)
         step.quota = quota_per_target(migration);
-    // No source may resume serving the volume until the arbiter has recorded that the migration never opens.
+    // Once Open has been sent, the arbiter may have opened the volume in the target cell. No source may
+    // therefore resume serving the volume until the arbiter has recorded that it will never open the volume
+    // for this migration.
     const bool arbiter_first = migration.stage == MigrationStage::Aborting && migration.open_sent &&
                                !migration.acknowledged.contains(migration.arbiter);
     for (const std::string &broker : step_recipients(migration)) {
--- a/src/cells/member_migrations.cpp
+++ b/src/cells/member_migrations.cpp
@@ -326,7 +326,9 @@
     actions.emplace_back(OutgoingMessage{sender, OutcomeReply{query.volume, query.migration, opened}});
 }
 
-/// Returns whether the migration has opened. If it has not, records that it never will.
+/// The arbiter's decision whether the migration took effect, that is, the volume was opened in the target
+/// cell. If neither this broker's record nor the map shows the outcome, records that the volume will never be
+/// opened for this migration.
 bool CellMember::decide_outcome(const OutcomeQuery &query, MemberActions &actions) {
     const auto found = records_.find(query.volume);
     if (found != records_.end() && found->second.migration == query.migration) {
--- a/src/cells/member_state.hpp
+++ b/src/cells/member_state.hpp
@@ -16,7 +16,7 @@
     Fenced,   ///< Source: accepts no new requests for the volume.
     Drained,  ///< Source: no request is open, and the quota has been given up.
     Released, ///< Source: the volume has migrated to the target cell.
-    Ended     ///< The migration was aborted or, at the arbiter, is recorded as never opening.
+    Ended     ///< The migration was aborted, or the arbiter recorded that it will never open the volume.
 };
 
 /// A broker's record of the newest migration of a volume that it took part in.
--- a/src/net/cells/coordinator_server.hpp
+++ b/src/net/cells/coordinator_server.hpp
@@ -12,7 +12,8 @@
 class CoordinatorServer {
 public:
     /// \param listener accepts connections from brokers.
-    /// \param seed a random number, new for each start; also the origin of the epochs assigned.
+    /// \param seed a random number, new for each start of the coordinator. It seeds the transport's random
+    /// delays and is the `origin` of every epoch that the coordinator assigns.
     /// \throws std::runtime_error if the state on disk cannot be read.
     CoordinatorServer(asio::io_context &io, core::Deadlines &deadlines, const Layout &layout,
                       tcp::acceptor listener, std::uint64_t seed);
