--- a/tests/closing_test.cpp
+++ b/tests/closing_test.cpp
@@ -396,7 +396,8 @@
 
 // ---- Shutdown ----
 
-// Every request received is answered and the process has exited before it may be killed.
+// After SIGTERM the broker answers every request it has received and exits within 3.7 s, the earliest time at
+// which the platform may kill it.
 void a_pipelining_client_is_answered_before_the_end(const std::string &first) {
     RespNode node(echo_after(100ms));
     const Discovery discovery(member("s-1", node.server.port, 0));
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -50,16 +50,17 @@
 TEST(ColdWatch, CountsAgainstWhatTheNodeCanDoThen) {
     NodeModel model;
     model.cores = 1, model.unit_ms = 1, model.slow_start_initial_fraction = 0.1,
-    model.cold_s = 10; // 1,000 units a second when warm
+    model.cold_s = 10; // the speed grows from 100 to 1,000 units a second in the 10 s after a start
     SlowStartMonitor watch(model, 1'000'000);
-    watch.units_received(0, 1e6); // no restart yet: the node is warm
+    watch.units_received(0, 1e6); // not counted: without a start so far, the node runs at full speed
     EXPECT_EQ(watch.worst_ratio(), 0);
     watch.started(0);
+    // Permitted in a window of 1 s: 4 times (`kMaxCapacityMultiple`) what the node can process in it.
     watch.units_received(0, 200); // permitted: 4 x 100
     EXPECT_DOUBLE_EQ(watch.worst_ratio(), 0.5);
     watch.units_received(500'000, 300); // 500 in the window; permitted: 4 x 145
     EXPECT_DOUBLE_EQ(watch.worst_ratio(), 500 / 580.0);
-    watch.units_received(1'600'000, 800); // the only units in the window; permitted: 4 x 244
+    watch.units_received(1'600'000, 800); // the earlier units are older than the window; permitted: 4 x 244
     EXPECT_DOUBLE_EQ(watch.worst_ratio(), 500 / 580.0);
     watch.units_received(1'600'000, 800);
     EXPECT_GT(watch.worst_ratio(), 1);
--- a/tests/nvme_test.cpp
+++ b/tests/nvme_test.cpp
@@ -428,8 +428,8 @@
     }
     return counts;
 }
-// As with RESP2 clients: the connection of a host that sends nothing, or only a part of a PDU, is closed, in
-// the second case after a TermReq PDU. A host that is set up may be idle.
+// As for RESP2 clients, the broker closes a new connection on which an NVMe host sends nothing or only a part
+// of a PDU; in the second case it sends a TermReq PDU first. A host whose queues are connected may be idle.
 void silent_hosts_and_half_pdus_get_an_end() {
     const Discovery discovery(member("s-1", free_port(), 0));
     const int port = free_port();
@@ -472,7 +472,8 @@
 // closed, although all queues of a controller are closed together.
 void commands_are_completed_before_a_host_is_let_go(bool process_ends) {
     constexpr std::uint16_t kCommands = 2; // the number sent to a new node at once
-    // Longer than the front end takes to close its clients' connections, or the longest shutdown.
+    // The node's response time. At a shutdown it exceeds the 3.7 s after which the process may be killed; at
+    // a quiesce call, the time until the front end has closed idle connections, which it begins after 1 s.
     const auto busy = process_ends ? 5000ms : 1600ms;
     RespNode node([busy](const auto &, int) {
         std::this_thread::sleep_for(busy);
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -49,7 +49,7 @@
         if (!s.value())
             return;
         ++answered;
-        s.send(RespNode::served("once")); // and closes
+        s.send(RespNode::served("once")); // the node closes the connection on return
     });
     const Discovery discovery(member("s-1", node.port, 0));
     const Program program(discovery);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -364,8 +364,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Rules, testing::Range(1u, 25u));
 
-// Up to hundreds of hosts with one check on their sum: the units that all of them send to one node or for one
-// volume.
+// Simulates up to hundreds of hosts and makes one check: on the total of the units that all of them send to
+// one node or for one volume.
 class Fleet {
 public:
     struct Sent {
--- a/tests/wire_bytes_test.cpp
+++ b/tests/wire_bytes_test.cpp
@@ -142,6 +142,9 @@
     return arrived;
 }
 
+// The letter after the prefix is the kind of the datagram: m registers the sender for the volume, h lists the
+// volume's other hosts, a asks to borrow units and g grants them. In a and g, the volume is followed by the
+// request number and the units. Volume and request number are hexadecimal.
 TEST(WireBytes, QuotaLendingDatagrams) {
     Hosts hosts(4);
     const ListUpdate list{ListUpdate::Kind::Full, {{NodeId{1}, ShardId{5}, ZoneId{0}}}};
