--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -308,6 +308,9 @@
             EXPECT_LE(sum, settings_.slow_start_units * part / settings_.slow_start_initial_fraction + 1e-6)
                 << "rule 4";
         }
+        // Rule 5: in a class with `in_order`, a request is sent only after every earlier one with its data
+        // key is answered and has no attempt in flight. After a timeout or reset of such an attempt, the
+        // first attempt of a request with the key waits for `ordering_settle_time`.
         if (ordered(item.in)) {
             for (const RequestId before : host.ordered_requests[*item.in.key]) {
                 if (before == send.id)
