--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -308,6 +308,9 @@
             EXPECT_LE(sum, settings_.slow_start_units * part / settings_.slow_start_initial_fraction + 1e-6)
                 << "rule 4";
         }
+        // Rule 5: in a class with `in_order`, a request is sent only after every earlier one with its data
+        // key is answered and has no attempt in flight. After a timeout or reset of such an attempt, the
+        // first attempt of a request with the key waits for `ordering_settle_time`.
         if (ordered(item.in)) {
             for (const RequestId before : host.ordered_requests[*item.in.key]) {
                 if (before == send.id)
@@ -364,8 +367,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Rules, testing::Range(1u, 25u));
 
-// Up to hundreds of hosts with one check on their sum: the units that all of them send to one node or for one
-// volume.
+// Simulates up to hundreds of hosts and makes one check: on the total of the units that all of them send to
+// one node or for one volume.
 class Fleet {
 public:
     struct Sent {
