--- a/src/app/shutdown_schedule.hpp
+++ b/src/app/shutdown_schedule.hpp
@@ -16,9 +16,8 @@
 ///   since a client may reconnect at once after its connection was closed.
 /// - At `answer_all_at` every open request is answered: refused if no node can have executed it or a retry is
 ///   harmless, failed otherwise. Connections in the accept queue are still accepted; then listening stops.
-/// - By `exit_at` every accepted request has been answered. No timer enforces this: the process exits as soon
-/// as
-///   all connections are closed and nothing is queued for sending to a successor.
+/// - By `exit_at` every accepted request has been answered. No timer enforces this: the process exits as
+///   soon as all connections are closed and nothing is queued for sending to a successor.
 struct ShutdownSchedule {
     /// After SIGTERM, the platform waits at least for the longest client deadline, capped at kMaxDeadline,
     /// plus kKillGrace before it kills the process.
